--- a/internal/buffer/buffer.go
+++ b/internal/buffer/buffer.go
@@ -27,8 +27,8 @@
 // Size is the memory that it holds.
 func (b *Buffer) Size() int { return len(b.b) }
 
-// Take drops the first n bytes.
-func (b *Buffer) Take(n int) {
+// Discard drops the first n bytes.
+func (b *Buffer) Discard(n int) {
 	if b.from += n; b.from == b.to {
 		b.from, b.to = 0, 0
 		if len(b.b) > kept {
--- a/internal/buffer/buffer_test.go
+++ b/internal/buffer/buffer_test.go
@@ -22,7 +22,7 @@
 			}
 		}
 		got = append(got, b.Bytes()[:size]...)
-		b.Take(size)
+		b.Discard(size)
 		if len(b.b) > Most {
 			t.Fatalf("%d bytes held", len(b.b))
 		}
--- a/internal/caches/caches.go
+++ b/internal/caches/caches.go
@@ -25,7 +25,7 @@
 type Protocol struct {
 	// Names of the load report's fields: how long ops take, in milliseconds; ops that wait; ops done in a second.
 	// Empty: it has none.
-	Pace, Waiting, Rate string
+	LatencyField, WaitingField, RateField string
 }
 
 // Append writes the command as the client sent it, but for the deadline, which is the attempt's own.
@@ -83,20 +83,20 @@
 		if r.Probe {
 			n, res, err = a.told(a.buf.Bytes())
 		} else {
-			n, res, err = next(a.buf.Bytes(), a.Pace)
+			n, res, err = next(a.buf.Bytes(), a.LatencyField)
 		}
-		var long *resp.Long
-		if errors.As(err, &long) && !r.Probe && long.Words == form.Words && long.Word == 0 && long.Size > 0 &&
-			long.Size <= engine.Longest {
-			a.buf.Take(long.From)
-			a.size = long.Size
-			return engine.Result{Outcome: policy.Acked, Body: engine.Body{Size: long.Size}}, true, nil
+		var long *resp.BulkTooLongError
+		if errors.As(err, &long) && !r.Probe && long.ArrayLength == form.MaxElements && long.Index == 0 && long.Length > 0 &&
+			long.Length <= engine.Longest {
+			a.buf.Discard(long.Offset)
+			a.size = long.Length
+			return engine.Result{Outcome: policy.Acked, Body: engine.Body{Size: long.Length}}, true, nil
 		}
 		if err != nil {
 			return engine.Result{}, false, err
 		}
 		if n > 0 {
-			a.buf.Take(n)
+			a.buf.Discard(n)
 			return res, true, nil
 		}
 		if err := a.buf.Fill(a.r); errors.Is(err, buffer.ErrFull) {
@@ -122,7 +122,7 @@
 			return false, err
 		}
 		left -= len(part)
-		a.buf.Take(len(part))
+		a.buf.Discard(len(part))
 	}
 	ended := false
 	for {
@@ -135,12 +135,12 @@
 			w.Close() // the value is whole, whatever becomes of the rest
 		}
 		if len(b) >= 2 {
-			n, err := tail.Check(append([]byte("*2"), b...))
+			n, err := tail.CheckArray(append([]byte("*2"), b...))
 			if err != nil {
 				return false, nil // of no further use
 			}
 			if n > 0 {
-				a.buf.Take(n - len("*2"))
+				a.buf.Discard(n - len("*2"))
 				return true, nil
 			}
 		}
@@ -154,15 +154,15 @@
 }
 
 // tail is what follows a value: how it went, and the load report.
-var tail = resp.Form{Words: 2, Longest: form.Longest, Null: true}
+var tail = resp.Limits{MaxElements: 2, MaxBulkLength: form.MaxBulkLength, AllowNull: true}
 
 const longestLine = 512 // of an error, with its load report
 
 // An answer is an array of the value, how it went and the load report, each of which may be null.
-var form = resp.Form{Words: 3, Longest: engine.Whole, Null: true}
+var form = resp.Limits{MaxElements: 3, MaxBulkLength: engine.Whole, AllowNull: true}
 
 func spoilt(why any) error {
-	if long, ok := why.(*resp.Long); ok {
+	if long, ok := why.(*resp.BulkTooLongError); ok {
 		return fmt.Errorf("%w: %w", pool.ErrSpoilt, long)
 	}
 	return fmt.Errorf("%w: %v", pool.ErrSpoilt, why)
@@ -176,7 +176,7 @@
 	if b[0] == redcon.Error {
 		return line(b, pace)
 	}
-	if n, err = form.Check(b); err != nil {
+	if n, err = form.CheckArray(b); err != nil {
 		return 0, res, spoilt(err)
 	}
 	if n == 0 {
@@ -188,7 +188,7 @@
 		parts = append(parts, part)
 		return true
 	})
-	if len(parts) != form.Words {
+	if len(parts) != form.MaxElements {
 		return 0, res, spoilt("an array of another length")
 	}
 	switch how := string(parts[1].Data); {
@@ -216,7 +216,7 @@
 		}
 		return n, res, err
 	}
-	if n, err = probed.Bulk(b); n == 0 || err != nil {
+	if n, err = probed.CheckBulk(b); n == 0 || err != nil {
 		if err != nil {
 			err = spoilt(err)
 		}
@@ -224,8 +224,8 @@
 	}
 	_, reply := redcon.ReadNextRESP(b[:n])
 	var waiting, rate bool
-	res.Waiting, waiting = value(string(reply.Data), p.Waiting)
-	res.Rate, rate = value(string(reply.Data), p.Rate)
+	res.Waiting, waiting = value(string(reply.Data), p.WaitingField)
+	res.Rate, rate = value(string(reply.Data), p.RateField)
 	if !waiting || !rate {
 		res.Outcome, res.Err = policy.Errored, errUntold
 	}
@@ -233,7 +233,7 @@
 }
 
 var (
-	probed    = resp.Form{Words: 1, Longest: longestLine}
+	probed    = resp.Limits{MaxElements: 1, MaxBulkLength: longestLine}
 	errUntold = errors.New("a probe that told nothing")
 )
 
--- a/internal/caches/caches_test.go
+++ b/internal/caches/caches_test.go
@@ -65,7 +65,7 @@
 
 // What a probe brings is two figures or nothing, and never an op's outcome.
 func TestProbesAreReadStrictly(t *testing.T) {
-	p := Protocol{Waiting: "pending", Rate: "served_ps"}
+	p := Protocol{WaitingField: "pending", RateField: "served_ps"}
 	if got, _ := p.Append(nil, &engine.Request{Probe: true}, deadline.Passed{}); string(got) != "*2\r\n$4\r\nINFO\r\n$4\r\nload\r\n" {
 		t.Errorf("asked with %q", got)
 	}
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -28,27 +28,27 @@
 	slowest   = 2 * time.Second // for a caller to read its answer
 )
 
-// ErrUnknown is the answer to an id that nobody has, ErrBusy to a call that could not be followed in time, ErrEnding to one
+// ErrUnknownID is the answer to an id that nobody has, ErrTimeout to a call that could not be followed in time, ErrEnding to one
 // that this process can't follow any more.
 var (
 	ErrEnding  = lifecycle.ErrEnding
-	ErrUnknown = errors.New("no cache has this id")
-	ErrBusy    = errors.New("not done in time; what it has changed is not known")
-	ErrLast    = errors.New("no cache in use would be left")
+	ErrUnknownID = errors.New("no cache has this id")
+	ErrTimeout    = errors.New("not done in time; what it has changed is not known")
+	ErrLastCache    = errors.New("no cache in use would be left")
 )
 
-// Calls is what can be called.
-type Calls struct {
+// Handlers is what can be called.
+type Handlers struct {
 	Ready    func() bool
-	Figures  func(io.Writer)
-	Out      func(id string, out bool) error // a cache
-	SendAway func(away bool) error
-	Site     func(name string, out bool, over time.Duration) error // all caches of a site, one after another over a span
+	WriteMetrics  func(io.Writer)
+	DetachCache      func(id string, out bool) error // a cache
+	SetLameDuck func(away bool) error
+	DetachSite     func(name string, out bool, over time.Duration) error // all caches of a site, one after another over a span
 }
 
 // Server answers calls.
 type Server struct {
-	Calls
+	Handlers
 	Log zerolog.Logger
 
 	server *http.Server
@@ -68,7 +68,7 @@
 	})
 	mux.HandleFunc("GET /_vars", func(w http.ResponseWriter, _ *http.Request) {
 		var text bytes.Buffer
-		s.Figures(&text)
+		s.WriteMetrics(&text)
 		w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 		w.Write(text.Bytes())
 	})
@@ -80,7 +80,7 @@
 				http.Error(w, "the body holds no id", http.StatusBadRequest)
 				return
 			}
-			s.answer(w, path+" "+id, s.Out(id, out))
+			s.answer(w, path+" "+id, s.DetachCache(id, out))
 		})
 	}
 	for path, out := range map[string]bool{"detach": true, "attach": false} {
@@ -95,12 +95,12 @@
 				http.Error(w, "the body holds no site, or no span of at most an hour behind it, such as \"30s\"", http.StatusBadRequest)
 				return
 			}
-			s.answer(w, "site "+path+" "+words[0]+" "+over.String(), s.Site(words[0], out, over))
+			s.answer(w, "site "+path+" "+words[0]+" "+over.String(), s.DetachSite(words[0], out, over))
 		})
 	}
 	for path, away := range map[string]bool{"on": true, "off": false} {
 		mux.HandleFunc("POST /_lameduck/"+path, func(w http.ResponseWriter, _ *http.Request) {
-			s.answer(w, "lameduck "+path, s.SendAway(away))
+			s.answer(w, "lameduck "+path, s.SetLameDuck(away))
 		})
 	}
 	// Bodies are ids, or none: a call is whole, and taken for one, once its body is here.
@@ -135,9 +135,9 @@
 	switch {
 	case err == nil:
 		io.WriteString(w, "ok\n")
-	case errors.Is(err, ErrUnknown):
+	case errors.Is(err, ErrUnknownID):
 		http.Error(w, err.Error(), http.StatusNotFound)
-	case errors.Is(err, ErrEnding), errors.Is(err, ErrLast):
+	case errors.Is(err, ErrEnding), errors.Is(err, ErrLastCache):
 		http.Error(w, err.Error(), http.StatusConflict)
 	default:
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -22,27 +22,27 @@
 		t.Fatal(err)
 	}
 	did, ready = new([]string), new(atomic.Bool)
-	s := &Server{Log: zerolog.Nop(), Calls: Calls{
+	s := &Server{Log: zerolog.Nop(), Handlers: Handlers{
 		Ready:   ready.Load,
-		Figures: func(w io.Writer) { io.WriteString(w, "svc_in_flight 14\n") },
-		Out: func(id string, out bool) error {
+		WriteMetrics: func(w io.Writer) { io.WriteString(w, "svc_in_flight 14\n") },
+		DetachCache: func(id string, out bool) error {
 			*did = append(*did, fmt.Sprint(id, " ", out))
 			switch id {
 			case "nobody":
-				return ErrUnknown
+				return ErrUnknownID
 			case "slow":
-				return ErrBusy
+				return ErrTimeout
 			}
 			return nil
 		},
-		Site: func(name string, out bool, over time.Duration) error {
+		DetachSite: func(name string, out bool, over time.Duration) error {
 			*did = append(*did, fmt.Sprint("site ", name, " ", out, " ", over))
 			if name == "only" {
-				return ErrLast
+				return ErrLastCache
 			}
 			return nil
 		},
-		SendAway: func(away bool) error {
+		SetLameDuck: func(away bool) error {
 			*did = append(*did, fmt.Sprint("away ", away))
 			return ErrEnding
 		},
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -96,7 +96,7 @@
 
 	s := c.Settings
 	book := figures.New()
-	shared := &pool.Shared{Written: book.Attempts.Inc, Dial: dialTime(s), Idle: s.IdleServer, Log: log}
+	shared := &pool.Shared{OnAttemptWritten: book.Attempts.Inc, DialTimeout: dialTime(s), IdleTimeout: s.IdleServer, Log: log}
 	var store *state.Store // what outlives the process: only where it can be called, and followed by another
 	if c.Control != "" {
 		store = state.Open(cmp.Or(get("TMPDIR"), os.TempDir()), c.Name, c.Listen)
@@ -117,19 +117,19 @@
 			if m.Kind == s.Policy.OriginKind {
 				return pool.New(shared, m.Addr, origin.Protocol{Host: m.Addr})
 			}
-			return pool.New(shared, m.Addr, caches.Protocol{Pace: s.PaceField, Waiting: s.WaitingField, Rate: s.RateField})
+			return pool.New(shared, m.Addr, caches.Protocol{LatencyField: s.PaceField, WaitingField: s.WaitingField, RateField: s.RateField})
 		}})
-	names := discovery.NewNames(s.Zones, s.Kinds, log)
+	names := discovery.NewNameTable(s.Zones, s.Kinds, log)
 	watch := discovery.New(c.Discovery, names, s.Policy.AskList, log)
-	watch.Tell = e.List
-	watch.Origin = s.Policy.OriginKind
+	watch.OnUpdate = e.List
+	watch.OriginKind = s.Policy.OriginKind
 	watch.Guard = roster.Guard[time.Duration]{Doubt: said.List.Doubt, Confirm: said.List.Confirm.D()}
-	known, err := watch.Known(c.Known)
+	known, err := watch.LoadKnown(c.Known)
 	if err != nil {
 		return fmt.Errorf("known: %w", err)
 	}
-	f := &front.Front{Engine: e, Names: front.NewNames(s, book), Book: book,
-		Piled: memory / 8, Long: memory / 4, Log: log, Pulse: beat}
+	f := &front.Server{Engine: e, Names: front.NewNameTable(s, book), Metrics: book,
+		MaxPendingBytes: memory / 8, MaxLongValueBytes: memory / 4, Log: log, Pulse: beat}
 	shifts.front, shifts.engine = f, e
 	book.Gauge("svc_engine_lag_ms", func() float64 { return e.Lag().Seconds() * 1000 })
 	book.Gauge("svc_engine_longest_event_ms", func() float64 { return float64(book.LongestEvent.Load()) / 1000 })
@@ -139,8 +139,8 @@
 		if other {
 			part = 2
 		}
-		f.Conns.Store(int64(c.Sockets / 2 / part))
-		shared.Sockets.Store(int64(c.Sockets * 3 / 8 / part))
+		f.MaxConns.Store(int64(c.Sockets / 2 / part))
+		shared.MaxConnections.Store(int64(c.Sockets * 3 / 8 / part))
 		if c.MemoryMB > 0 {
 			debug.SetMemoryLimit(memory * 3 / 4 / int64(part))
 		}
@@ -165,7 +165,7 @@
 	stop := make(chan struct{})
 	go e.Run(stop)
 	go watch.Run(ctx)
-	go each(ctx, sweepEvery, func() { shared.Sweep(time.Now()) })
+	go each(ctx, sweepEvery, func() { shared.CloseExpired(time.Now()) })
 	shifts.serving(word.Away) // before the first PING is read
 	go f.Serve()
 	if c.Control != "" {
@@ -200,9 +200,9 @@
 		c = next
 		shifts.retuned(c.Settings)
 		kept.retuned(c.Settings)
-		f.Rename(front.NewNames(c.Settings, book)) // after the engine knows the numbers
-		shared.Tune(dialTime(c.Settings), c.Settings.IdleServer)
-		if watch.Move(c.Discovery); len(waiting) > 0 {
+		f.SetNames(front.NewNameTable(c.Settings, book)) // after the engine knows the numbers
+		shared.SetTimeouts(dialTime(c.Settings), c.Settings.IdleServer)
+		if watch.SetAddress(c.Discovery); len(waiting) > 0 {
 			log.Warn().Strs("fields", waiting).Msg("changed fields that wait for a restart")
 		}
 		book.ReloadsOK.Inc() // Danger: counted ahead, an operator would take clients' next op for one under the new settings
@@ -230,7 +230,7 @@
 	}
 	counters()
 	cancel()
-	shared.Release()
+	shared.CloseIdle()
 	select {
 	case <-keeping:
 	case <-time.After(keepTime): // a disk that does not answer holds nobody up
--- a/internal/daemon/shifts.go
+++ b/internal/daemon/shifts.go
@@ -40,7 +40,7 @@
 
 // shifts carries out what the lifecycle says: signals and calls come in, listener, connections and PING follow.
 type shifts struct {
-	front  *front.Front
+	front  *front.Server
 	engine *engine.Engine
 	book   *figures.Book
 	log    zerolog.Logger
@@ -76,16 +76,16 @@
 	if err != nil {
 		return nil, err
 	}
-	server := &control.Server{Log: s.log, Calls: control.Calls{
+	server := &control.Server{Log: s.log, Handlers: control.Handlers{
 		Ready: func() bool {
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			return s.life.Ready()
 		},
-		Figures:  func(w io.Writer) { s.book.Write(w) },
-		Out:      s.out,
-		SendAway: s.sendAway,
-		Site:     s.site,
+		WriteMetrics:  func(w io.Writer) { s.book.Write(w) },
+		DetachCache:      s.out,
+		SetLameDuck: s.sendAway,
+		DetachSite:     s.site,
 	}}
 	go server.Serve(l)
 	return server, nil
@@ -237,9 +237,9 @@
 		return func() error {
 			switch err := s.engine.Out(id, out, callTime); {
 			case errors.Is(err, engine.ErrUnknown):
-				return control.ErrUnknown
+				return control.ErrUnknownID
 			case errors.Is(err, engine.ErrBusy):
-				return control.ErrBusy
+				return control.ErrTimeout
 			default:
 				return err
 			}
@@ -277,7 +277,7 @@
 func (s *shifts) site(name string, out bool, over time.Duration) error {
 	zone := slices.Index(s.zones, name)
 	if zone < 0 {
-		return control.ErrUnknown
+		return control.ErrUnknownID
 	}
 	var before state.Word
 	word := state.Site{Out: out, At: time.Now(), Over: over}
@@ -292,11 +292,11 @@
 		err := s.engine.Site(zone, engine.SiteWord(word), callTime)
 		switch {
 		case errors.Is(err, engine.ErrUnknown):
-			return control.ErrUnknown
+			return control.ErrUnknownID
 		case errors.Is(err, engine.ErrLast):
-			return control.ErrLast
+			return control.ErrLastCache
 		case errors.Is(err, engine.ErrBusy):
-			return control.ErrBusy
+			return control.ErrTimeout
 		case err == nil && zone == s.zone:
 			err = s.turnAway(out)
 		}
@@ -339,7 +339,7 @@
 // turnFront tells the front what holds; the mutex is held.
 func (s *shifts) turnFront() {
 	now := s.now()
-	s.front.Turn(s.life.Phase(now), s.life.Yes(), s.life.Part(now))
+	s.front.ApplyPhase(s.life.Phase(now), s.life.Yes(), s.life.Part(now))
 }
 
 // turns has a goroutine look after connections for as long as clients are sent away.
@@ -416,7 +416,7 @@
 		}
 		select {
 		case <-closed:
-			left = s.front.Open()
+			left = s.front.OpenConns()
 		default:
 			left = 1 // who stands in the queue is not counted yet
 		}
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -45,9 +45,9 @@
 		fmt.Fprint(w, text)
 	})}
 	go server.Serve(l)
-	watch := New(l.Addr().String(), NewNames([]string{"a", "b"}, []string{"box", "origin"}, zerolog.Nop()), ask, zerolog.Nop())
+	watch := New(l.Addr().String(), NewNameTable([]string{"a", "b"}, []string{"box", "origin"}, zerolog.Nop()), ask, zerolog.Nop())
 	tells := make(chan told, 100)
-	watch.Tell = func(kind policy.ListKind, members []engine.Member) { tells <- told{kind, members} }
+	watch.OnUpdate = func(kind policy.ListKind, members []engine.Member) { tells <- told{kind, members} }
 	for _, f := range change {
 		f(watch)
 	}
@@ -120,7 +120,7 @@
 			t.Errorf("asked %q, want %q", query, want)
 		}
 	}
-	if other := NewNames(nil, nil, zerolog.Nop()); other.number("y") == x.ID || other.number("x") != x.ID {
+	if other := NewNameTable(nil, nil, zerolog.Nop()); other.number("y") == x.ID || other.number("x") != x.ID {
 		t.Error("another proxy gives the cache another number")
 	}
 	w.Watch(true) // means nothing where changes come by themselves
@@ -164,8 +164,8 @@
 		fmt.Fprint(w, list(1, true, entry("x", "active")))
 	}))
 	defer l.Close()
-	w := New(l.Addr().String(), NewNames(nil, nil, zerolog.Nop()), false, zerolog.Nop())
-	w.Tell = func(policy.ListKind, []engine.Member) { panic("in the listener") }
+	w := New(l.Addr().String(), NewNameTable(nil, nil, zerolog.Nop()), false, zerolog.Nop())
+	w.OnUpdate = func(policy.ListKind, []engine.Member) { panic("in the listener") }
 	if _, err := w.ask(context.Background(), http.DefaultClient, l.Addr().String(), nil, false, false); err == nil {
 		t.Error("no word of it")
 	}
@@ -219,8 +219,8 @@
 		}
 		fmt.Fprint(out, list(3, true, entry("y", "active"), entry("z", "active")))
 	}))
-	w.Move(next.Addr().String())
-	w.Move(next.Addr().String()) // nothing changed: the watch goes on
+	w.SetAddress(next.Addr().String())
+	w.SetAddress(next.Addr().String()) // nothing changed: the watch goes on
 	if got := hear(t, tells); got.kind != policy.ListFull || len(got.members) != 2 {
 		t.Errorf("%+v", got)
 	}
@@ -258,7 +258,7 @@
 		}
 		return list(8+n, false)
 	})
-	if members, err := w.Known([]byte(list(7, true, entry("x", "active")))); err != nil || len(members) != 1 {
+	if members, err := w.LoadKnown([]byte(list(7, true, entry("x", "active")))); err != nil || len(members) != 1 {
 		t.Fatal(members, err)
 	}
 	w.Watch(true)
@@ -277,7 +277,7 @@
 }
 
 func TestBadDocuments(t *testing.T) {
-	names := NewNames(nil, []string{"box"}, zerolog.Nop())
+	names := NewNameTable(nil, []string{"box"}, zerolog.Nop())
 	for _, text := range []string{"", "[]", "null", "{}", `{"instances":[]}`, `{"generation":-1}`, `{"generation":1,"instances":{}}`,
 		`{"generation":1,"reset":true}`, // no list at all: it would name all caches gone
 		`{"generation":1,"instances":[{"instanceId":5}]}`, list(1, true, entry("x", "active")) + "}"} {
@@ -334,7 +334,7 @@
 
 // Danger: on a long day ids are ever new, and what is kept of each fills the memory.
 func TestGoneCachesAreForgotten(t *testing.T) {
-	names := NewNames(nil, nil, zerolog.Nop())
+	names := NewNameTable(nil, nil, zerolog.Nop())
 	decode := func(text string) uint32 {
 		doc, members, err := names.decode([]byte(text))
 		names.forget(doc)
@@ -374,7 +374,7 @@
 		<-hold
 		return ""
 	}, func(w *Watch) {
-		w.Origin = 1
+		w.OriginKind = 1
 		w.Guard = roster.Guard[time.Duration]{Doubt: 0.5, Confirm: 100 * time.Millisecond}
 	})
 	for i, want := range []string{"0 a0 b0 c0 d0", "1 o0", "1 a1 e0", "0 a0 b0 c0 d0", "1 a0", "1 a0", "0 a0"} {
@@ -456,8 +456,8 @@
 			})}
 			go server.Serve(l)
 			defer server.Close()
-			w, tells := New(l.Addr().String(), NewNames(nil, nil, zerolog.Nop()), false, zerolog.Nop()), make(chan told, 100)
-			w.Tell = func(kind policy.ListKind, members []engine.Member) { tells <- told{kind, members} }
+			w, tells := New(l.Addr().String(), NewNameTable(nil, nil, zerolog.Nop()), false, zerolog.Nop()), make(chan told, 100)
+			w.OnUpdate = func(kind policy.ListKind, members []engine.Member) { tells <- told{kind, members} }
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
 			go w.Run(ctx)
--- a/internal/discovery/entries.go
+++ b/internal/discovery/entries.go
@@ -54,8 +54,8 @@
 	log          zerolog.Logger
 }
 
-// NewNames takes the names in the settings' order.
-func NewNames(zones, kinds []string, log zerolog.Logger) *Names {
+// NewNameTable takes the names in the settings' order.
+func NewNameTable(zones, kinds []string, log zerolog.Logger) *Names {
 	n := &Names{zones: map[string]int{}, kinds: map[string]int{}, ids: map[string]uint32{}, taken: map[uint32]string{}, log: log}
 	for _, z := range zones {
 		n.zones[z] = len(n.zones)
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -46,11 +46,11 @@
 type Watch struct {
 	Names *Names
 	Ask   bool // only while the module asks for it, which then also decides when to ask again
-	Tell  func(policy.ListKind, []engine.Member)
+	OnUpdate  func(policy.ListKind, []engine.Member)
 	Log   zerolog.Logger
 	Guard roster.Guard[time.Duration] // whole lists that it holds are asked for again
 
-	Origin int // the kind that is no cache: a list that names it alone names none
+	OriginKind int // the kind that is no cache: a list that names it alone names none
 
 	began time.Time
 	used  map[string]bool // caches in use by the last word; the goroutine's own
@@ -67,12 +67,12 @@
 
 // New makes a watch; Run starts it.
 func New(addr string, names *Names, ask bool, log zerolog.Logger) *Watch {
-	return &Watch{addr: addr, Names: names, Ask: ask, Log: log, began: time.Now(), Origin: -1, used: map[string]bool{}, on: make(chan bool, 64), call: func() {}}
+	return &Watch{addr: addr, Names: names, Ask: ask, Log: log, began: time.Now(), OriginKind: -1, used: map[string]bool{}, on: make(chan bool, 64), call: func() {}}
 }
 
-// Move goes on at another address. The call in hand ends at once: the old agent may be silent by now, and what it
+// SetAddress goes on at another address. The call in hand ends at once: the old agent may be silent by now, and what it
 // still says counts no more. The list stands until the new one has told its own.
-func (w *Watch) Move(addr string) {
+func (w *Watch) SetAddress(addr string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if addr == w.addr {
@@ -99,8 +99,8 @@
 	}
 }
 
-// Known reads the list that the configuration holds.
-func (w *Watch) Known(text []byte) ([]engine.Member, error) {
+// LoadKnown reads the list that the configuration holds.
+func (w *Watch) LoadKnown(text []byte) ([]engine.Member, error) {
 	if len(text) == 0 || string(text) == "null" {
 		return nil, nil
 	}
@@ -147,7 +147,7 @@
 			w.version.Store(*next)
 			if version, back, reopen = next, backOff, false; faults > 0 {
 				if w.Ask { // the service is well: what decides when to ask hears so, also if there was no news
-					w.Tell(policy.ListDelta, nil)
+					w.OnUpdate(policy.ListDelta, nil)
 				}
 				w.Log.Info().Int("faults", faults).Msg("discovery answers again")
 				faults = 0
@@ -183,7 +183,7 @@
 				continue
 			}
 			on, reopen = false, false
-			w.Tell(policy.ListFailed, nil)
+			w.OnUpdate(policy.ListFailed, nil)
 			continue
 		}
 		select {
@@ -209,7 +209,7 @@
 func (w *Watch) inDoubt(members []engine.Member) bool {
 	told, named := map[string]bool{}, 0
 	for _, m := range members {
-		if told[m.Name] = true; m.State == policy.Ready && m.Kind != w.Origin {
+		if told[m.Name] = true; m.State == policy.Ready && m.Kind != w.OriginKind {
 			named++
 		}
 	}
@@ -234,7 +234,7 @@
 		clear(w.used)
 	}
 	for _, m := range members {
-		if delete(w.used, m.Name); m.State == policy.Ready && m.Kind != w.Origin {
+		if delete(w.used, m.Name); m.State == policy.Ready && m.Kind != w.OriginKind {
 			w.used[m.Name] = true
 		}
 	}
@@ -313,7 +313,7 @@
 	if whole && w.inDoubt(members) {
 		if len(members) > 0 {
 			w.note(false, members)
-			w.Tell(policy.ListDelta, members)
+			w.OnUpdate(policy.ListDelta, members)
 		}
 		return nil, errHeld
 	}
@@ -324,9 +324,9 @@
 		if len(members) == 0 {
 			w.Log.Warn().Msg("the list is empty")
 		}
-		w.Tell(policy.ListFull, members)
+		w.OnUpdate(policy.ListFull, members)
 	case len(members) > 0:
-		w.Tell(policy.ListDelta, members)
+		w.OnUpdate(policy.ListDelta, members)
 	}
 	return doc.Generation, nil
 }
--- a/internal/front/admission.go
+++ b/internal/front/admission.go
@@ -22,7 +22,7 @@
 
 // admit takes a new connection in, which was not there at a moment. Where there is no room, another makes way at once: whoever waited for that in turn
 // would be served too late, would come again, and find a longer queue. Where none can, the newcomer is told so, and closed unread at worst.
-func (f *Front) admit(nc net.Conn, since time.Time) {
+func (f *Server) admit(nc net.Conn, since time.Time) {
 	for began := time.Now(); ; {
 		waited := time.Since(began)
 		c, old := f.enter(nc, since, waited)
@@ -48,10 +48,10 @@
 
 // enter makes a connection of a newcomer if there is room, or beyond it if the newcomer has waited and none makes way. It gives the connection that
 // makes way as well, nil for none.
-func (f *Front) enter(nc net.Conn, since time.Time, waited time.Duration) (c, old *conn) {
+func (f *Server) enter(nc net.Conn, since time.Time, waited time.Duration) (c, old *conn) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	most := int(f.Conns.Load())
+	most := int(f.MaxConns.Load())
 	room, leaving := len(f.conns) < most, false
 	if len(f.conns) >= most/2 {
 		old, leaving = f.dispensable(time.Now().Add(-fresh), room)
@@ -73,9 +73,9 @@
 // have only just come are given a moment to speak, unless they are more than a third: silent ones come by hundreds, good ones among them. While
 // there is room, one makes way only where those that have asked, and idle, are more than half: clients have connections to lose, too, and would
 // hold too many to make new ones. One makes way at a time: leaving tells that one does already.
-func (f *Front) dispensable(before time.Time, room bool) (chosen *conn, leaving bool) {
+func (f *Server) dispensable(before time.Time, room bool) (chosen *conn, leaving bool) {
 	var silent, idle, done *conn
-	unheard, quiet, most := 0, 0, int(f.Conns.Load())
+	unheard, quiet, most := 0, 0, int(f.MaxConns.Load())
 	for c := range f.conns {
 		c.mu.Lock()
 		leaving = leaving || c.evicted && c.owes() == owesNothing
--- a/internal/front/closing_test.go
+++ b/internal/front/closing_test.go
@@ -74,14 +74,14 @@
 }
 
 // gated admits a connection with the given gates, and gives its client.
-func gated(t *testing.T, f *Front, read, write gate) *client {
+func gated(t *testing.T, f *Server, read, write gate) *client {
 	t.Helper()
 	return pair(t, func(ours net.Conn) { f.admit(&gatedConn{ours, read, write}, time.Now()) })
 }
 
 // closers are the ways in which the proxy ends a client's connection by itself.
-var closers = map[string]func(f *Front){
-	"to make way": func(f *Front) {
+var closers = map[string]func(f *Server){
+	"to make way": func(f *Server) {
 		f.mu.Lock()
 		chosen, _ := f.dispensable(time.Now().Add(time.Hour), false)
 		f.mu.Unlock()
@@ -89,9 +89,9 @@
 			chosen.makeWay()
 		}
 	},
-	"as clients are sent away": func(f *Front) { f.Turn(lifecycle.Asked, false, 0) },
-	"as the process ends":      func(f *Front) { f.Turn(lifecycle.All, true, 0) },
-	"as one that nobody uses":  func(f *Front) { f.Turn(lifecycle.Keep, true, 1) },
+	"as clients are sent away": func(f *Server) { f.ApplyPhase(lifecycle.Asked, false, 0) },
+	"as the process ends":      func(f *Server) { f.ApplyPhase(lifecycle.All, true, 0) },
+	"as one that nobody uses":  func(f *Server) { f.ApplyPhase(lifecycle.Keep, true, 1) },
 }
 
 // Danger: an answer has left the table of open requests, and is not written yet: the connection looks as if nothing was owed on it.
@@ -177,7 +177,7 @@
 	c.send(get("a"))
 	wait(t, e.taken).Reply.Acked([]byte("v"))
 	c.want("$1", "v")
-	f.Turn(lifecycle.All, true, 0)
+	f.ApplyPhase(lifecycle.All, true, 0)
 	c.want("EOF")
 	c.send(get("late"))
 	until(t, "a reset", func() bool { return socketError(t, c.Conn) == syscall.EPIPE })
@@ -232,7 +232,7 @@
 
 // Danger: there is no room for a newcomer, and its connection is closed with its request: it is refused, and handed in nowhere.
 func TestANewcomerWithoutRoomIsRefused(t *testing.T) {
-	f, e := serve(t, func(f *Front) { f.Conns.Store(2) })
+	f, e := serve(t, func(f *Server) { f.MaxConns.Store(2) })
 	var busy []*client
 	for n := range 2 {
 		c := dial(t, f)
--- a/internal/front/command.go
+++ b/internal/front/command.go
@@ -27,11 +27,11 @@
 var errFraming = errors.New("protocol error")
 
 // A command is an array of bulk strings and nothing else: inline ones are no part of the protocol here.
-var form = resp.Form{Words: 16, Longest: longestValue}
+var form = resp.Limits{MaxElements: 16, MaxBulkLength: longestValue}
 
 // next takes a whole command off b; n is 0 while some of it is missing. An error means that the framing is lost.
 func next(b []byte, args [][]byte) (n int, words [][]byte, err error) {
-	if n, err = form.Check(b); n == 0 || err != nil {
+	if n, err = form.CheckArray(b); n == 0 || err != nil {
 		return 0, nil, err
 	}
 	whole, words, kind, rest, err := redcon.ReadNextCommand(b[:n], args)
@@ -44,15 +44,15 @@
 	return n, words, nil
 }
 
-// Names maps what commands name to the module's numbers.
-type Names struct {
+// NameTable maps what commands name to the module's numbers.
+type NameTable struct {
 	categories, tenants map[string]int
 	classes             []*figures.Class // by category's number
 }
 
-// NewNames takes the names in the module's order, less those that are no longer asked for.
-func NewNames(s settings.Settings, book *figures.Book) Names {
-	n := Names{categories: map[string]int{}, tenants: map[string]int{}}
+// NewNameTable takes the names in the module's order, less those that are no longer asked for.
+func NewNameTable(s settings.Settings, book *figures.Book) NameTable {
+	n := NameTable{categories: map[string]int{}, tenants: map[string]int{}}
 	for i, name := range s.Categories {
 		n.classes = append(n.classes, book.Class(name))
 		if !s.Policy.Categories[i].Dropped {
@@ -68,7 +68,7 @@
 }
 
 // parse makes an op of a command's words, whose last byte came at a moment. The error says what is wrong, for the client.
-func (n Names) parse(words [][]byte, write bool, received time.Time) (*engine.Op, error) {
+func (n NameTable) parse(words [][]byte, write bool, received time.Time) (*engine.Op, error) {
 	want := 4
 	if write {
 		want = 5
@@ -95,7 +95,7 @@
 }
 
 // properties reads a request's list of names and values.
-func (n Names) properties(o *engine.Op, list string) error {
+func (n NameTable) properties(o *engine.Op, list string) error {
 	category, wait, tenant, marked := false, false, false, false
 	for at := 0; at <= len(list); {
 		end := strings.IndexByte(list[at:], ',')
--- a/internal/front/conn.go
+++ b/internal/front/conn.go
@@ -24,7 +24,7 @@
 
 // conn is one client's connection. One goroutine reads commands, one writes answers in the commands' order.
 type conn struct {
-	front *Front
+	front *Server
 	nc    net.Conn
 	born  time.Time
 	place float64 // 0 to 1: when it ends among others that are not used
@@ -69,7 +69,7 @@
 }
 
 // newConn makes a connection that was not there at a moment.
-func newConn(f *Front, nc net.Conn, since time.Time) *conn {
+func newConn(f *Server, nc net.Conn, since time.Time) *conn {
 	c := &conn{front: f, nc: nc, source: newSource(nc, since, f.Pulse), wake: make(chan struct{}, 1), stopped: make(chan struct{}), born: time.Now()}
 	c.used = c.born
 	c.room.L = &c.mu
--- a/internal/front/endings_test.go
+++ b/internal/front/endings_test.go
@@ -16,7 +16,7 @@
 )
 
 // only gives the front's one connection, as it looks under its mutex.
-func (f *Front) only(look func(c *conn) bool) bool {
+func (f *Server) only(look func(c *conn) bool) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for c := range f.conns {
@@ -40,25 +40,25 @@
 func TestAClientThatLeavesWhileNothingIsReadFromIt(t *testing.T) {
 	for name, place := range map[string]struct {
 		open int // ops on the connection as the client goes
-		stop func(t *testing.T, f *Front, c *client)
+		stop func(t *testing.T, f *Server, c *client)
 	}{
-		"its connection is to end": {3, func(t *testing.T, f *Front, c *client) {
-			f.Turn(lifecycle.All, true, 0)
+		"its connection is to end": {3, func(t *testing.T, f *Server, c *client) {
+			f.ApplyPhase(lifecycle.All, true, 0)
 			until(t, "stopped", func() bool { return f.only(func(c *conn) bool { return c.unread }) })
 			c.send(get("crossing"))
 		}},
-		"its framing is lost": {3, func(t *testing.T, f *Front, c *client) {
+		"its framing is lost": {3, func(t *testing.T, f *Server, c *client) {
 			c.send("what is this\r\n" + strings.Repeat("x", 1000))
 			until(t, "stopped", func() bool { return f.only(func(c *conn) bool { return c.unread }) })
 			c.send(get("behind"))
 		}},
-		"too much is open": {mostWaiting, func(t *testing.T, f *Front, c *client) {
+		"too much is open": {mostWaiting, func(t *testing.T, f *Server, c *client) {
 			for i := range mostWaiting {
 				c.send(get(fmt.Sprint("more", i)))
 			}
 		}},
-		"its value finds no room": {3, func(t *testing.T, f *Front, c *client) {
-			if !f.long.TryAcquire(f.Long) {
+		"its value finds no room": {3, func(t *testing.T, f *Server, c *client) {
+			if !f.long.TryAcquire(f.MaxLongValueBytes) {
 				t.Fatal("no room at all")
 			}
 			c.send(fmt.Sprintf("*5\r\n$9\r\nCACHE.SET\r\n$1\r\nk\r\n$4\r\nlong\r\n$16\r\nc=read,d=5000,x=\r\n$%d\r\nvvv", 1<<20))
@@ -85,7 +85,7 @@
 					}
 					delete(open, o)
 				}
-				until(t, "ended", func() bool { return f.Open() == 0 })
+				until(t, "ended", func() bool { return f.OpenConns() == 0 })
 			})
 		}
 	}
@@ -164,7 +164,7 @@
 	if got := c.line(); got != "EOF" {
 		t.Error(got)
 	}
-	until(t, "ended", func() bool { return f.Open() == 0 })
+	until(t, "ended", func() bool { return f.OpenConns() == 0 })
 	if chosen.got() {
 		t.Error("something was taken behind the end")
 	}
@@ -179,7 +179,7 @@
 	c := dial(t, f)
 	c.send(get("a"))
 	o := wait(t, e.taken)
-	f.Turn(lifecycle.All, true, 0)
+	f.ApplyPhase(lifecycle.All, true, 0)
 	until(t, "stopped", func() bool { return f.only(func(c *conn) bool { return c.unread }) })
 	c.send(strings.Repeat(get("crossing"), 500))
 	o.Reply.Acked([]byte("v"))
@@ -194,8 +194,8 @@
 func TestAValueIsAnnouncedUnderTheMutex(t *testing.T) {
 	ours, theirs := net.Pipe()
 	defer theirs.Close()
-	f := &Front{Engine: &nobody{}, Book: figures.New(), Piled: 1 << 20, conns: map[*conn]struct{}{}, changed: make(chan struct{}, 1)}
-	f.Conns.Store(1)
+	f := &Server{Engine: &nobody{}, Metrics: figures.New(), MaxPendingBytes: 1 << 20, conns: map[*conn]struct{}{}, changed: make(chan struct{}, 1)}
+	f.MaxConns.Store(1)
 	c := newConn(f, ours, time.Now())
 	s := &slot{c: c, op: &engine.Op{}}
 	c.slots = []*slot{s}
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -27,14 +27,14 @@
 	Leave(*engine.Op)
 }
 
-// Front serves clients.
-type Front struct {
+// Server serves clients.
+type Server struct {
 	Engine Engine
-	Names  Names        // at first
-	Conns  atomic.Int64 // open at once, at most
-	Book   *figures.Book
-	Long   int64 // bytes of long values that all clients together may have under way to caches and origin
-	Piled  int64 // bytes of answers that all clients together may leave unread, and of commands half read
+	Names  NameTable        // at first
+	MaxConns  atomic.Int64 // open at once, at most
+	Metrics   *figures.Book
+	MaxLongValueBytes   int64 // bytes of long values that all clients together may have under way to caches and origin
+	MaxPendingBytes  int64 // bytes of answers that all clients together may leave unread, and of commands half read
 	Log    zerolog.Logger
 	Pulse  *pulse.Pulse // tells of stalls of this process; nil: none is known
 
@@ -49,7 +49,7 @@
 
 	long  *semaphore.Weighted
 	room  time.Duration // a long value waits so long for its bytes
-	names atomic.Pointer[Names]
+	names atomic.Pointer[NameTable]
 	phase atomic.Int32 // lifecycle.Phase
 	away  atomic.Bool  // clients are sent away: PING says no
 
@@ -63,7 +63,7 @@
 }
 
 // Listen opens the address; shared: another process may serve clients there as well, and gives new ones over.
-func (f *Front) Listen(addr string, shared bool) error {
+func (f *Server) Listen(addr string, shared bool) error {
 	listening := time.Now()
 	l, err := listen(addr, shared)
 	if err != nil {
@@ -74,25 +74,25 @@
 			f.Log.Warn().Err(err).Msg("new connections are shared by chance with a process that ends")
 		}
 	}
-	f.Rename(f.Names)
+	f.SetNames(f.Names)
 	f.listener, f.conns, f.changed = l, map[*conn]struct{}{}, make(chan struct{}, 1)
-	f.long, f.room = semaphore.NewWeighted(f.Long), longRoom
+	f.long, f.room = semaphore.NewWeighted(f.MaxLongValueBytes), longRoom
 	f.served = make(chan struct{})
 	f.vacant = listening
 	return nil
 }
 
-// Rename puts other names in place of those that commands are read by.
-func (f *Front) Rename(n Names) { f.names.Store(&n) }
+// SetNames puts other names in place of those that commands are read by.
+func (f *Server) SetNames(n NameTable) { f.names.Store(&n) }
 
 // Classes names the categories that are asked for.
-func (f *Front) Classes() []string { return slices.Sorted(maps.Keys(f.names.Load().categories)) }
+func (f *Server) Classes() []string { return slices.Sorted(maps.Keys(f.names.Load().categories)) }
 
 // Addr is where clients connect.
-func (f *Front) Addr() string { return f.listener.Addr().String() }
+func (f *Server) Addr() string { return f.listener.Addr().String() }
 
 // Serve accepts until Stop.
-func (f *Front) Serve() {
+func (f *Server) Serve() {
 	defer close(f.served)
 	for {
 		queued := f.queued()
@@ -116,7 +116,7 @@
 
 const longRoom = 2 * time.Second // for a long value's bytes
 
-func (f *Front) remove(c *conn) {
+func (f *Server) remove(c *conn) {
 	f.mu.Lock()
 	delete(f.conns, c)
 	f.mu.Unlock()
@@ -127,7 +127,7 @@
 }
 
 // panicked logs and counts a panic, which ends no more than the connection that it happened on.
-func (f *Front) panicked(c *conn, fault any) {
+func (f *Server) panicked(c *conn, fault any) {
 	f.panics.Add(1)
 	f.Log.Error().Interface("panic", fault).Str("client", c.nc.RemoteAddr().String()).Bytes("stack", debug.Stack()).
 		Msg("panic on a client's connection")
@@ -137,9 +137,9 @@
 
 const newcomer = 300 * time.Millisecond // for a client's first command, while clients are sent away
 
-// Turn says what becomes of connections, and whether PING says no. It is called again and again, and ends connections that
+// ApplyPhase says what becomes of connections, and whether PING says no. It is called again and again, and ends connections that
 // are due: each as soon as all that was read on it is answered. part of those that are not used end in any phase.
-func (f *Front) Turn(phase lifecycle.Phase, yes bool, part float64) {
+func (f *Server) ApplyPhase(phase lifecycle.Phase, yes bool, part float64) {
 	f.away.Store(!yes)
 	f.phase.Store(int32(phase))
 	if phase < lifecycle.Asked && part <= 0 {
@@ -160,7 +160,7 @@
 }
 
 // Close ends listening. Danger: what stands in the queue as it closes is reset, so it is taken up to the last moment.
-func (f *Front) Close() {
+func (f *Server) Close() {
 	f.listener.SetDeadline(passed)
 	<-f.served
 	for _, nc := range rest(f.listener) {
@@ -174,20 +174,20 @@
 	f.listener.Close()
 }
 
-// Open is the number of clients' connections.
-func (f *Front) Open() int {
+// OpenConns is the number of clients' connections.
+func (f *Server) OpenConns() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.conns)
 }
 
 // Evicted is the number of connections that made way for others.
-func (f *Front) Evicted() int64 { return f.evicted.Load() }
+func (f *Server) Evicted() int64 { return f.evicted.Load() }
 
 // MarshalZerologObject writes the counters into a log line.
-func (f *Front) MarshalZerologObject(l *zerolog.Event) {
-	l.Int("open", f.Open()).Int64("accepted", f.accepted.Load()).Int64("acked", f.Book.Sum(figures.Served)).
-		Int64("nacked", f.Book.Sum(figures.Refused)).Int64("dead_lettered", f.Book.Sum(figures.Failed)).
+func (f *Server) MarshalZerologObject(l *zerolog.Event) {
+	l.Int("open", f.OpenConns()).Int64("accepted", f.accepted.Load()).Int64("acked", f.Metrics.Sum(figures.Served)).
+		Int64("nacked", f.Metrics.Sum(figures.Refused)).Int64("dead_lettered", f.Metrics.Sum(figures.Failed)).
 		Int64("turned_away", f.full.Load()).Int64("twice", f.twice.Load()).Int64("malformed", f.malformed.Load()).
 		Int64("panics", f.panics.Load()).Int64("slow", f.slow.Load()).Int64("silent", f.silent.Load()).
 		Int64("half", f.halves.Load()).Int64("idle", f.idle.Load()).Int64("evicted", f.evicted.Load()).
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -47,13 +47,13 @@
 }
 func (e *fakeEngine) Leave(o *engine.Op) { e.left <- o }
 
-func serve(t *testing.T, change func(*Front)) (*Front, *fakeEngine) {
+func serve(t *testing.T, change func(*Server)) (*Server, *fakeEngine) {
 	t.Helper()
 	e := &fakeEngine{make(chan *engine.Op, 1000), make(chan *engine.Op, 1000), false}
 	book := figures.New()
-	f := &Front{Engine: e, Book: book, Names: NewNames(known, book), Piled: 1 << 20, Long: 1 << 20,
+	f := &Server{Engine: e, Metrics: book, Names: NewNameTable(known, book), MaxPendingBytes: 1 << 20, MaxLongValueBytes: 1 << 20,
 		Log: zerolog.Nop()}
-	f.Conns.Store(100)
+	f.MaxConns.Store(100)
 	if change != nil {
 		change(f)
 	}
@@ -71,7 +71,7 @@
 	r *bufio.Reader
 }
 
-func dial(t *testing.T, f *Front) *client {
+func dial(t *testing.T, f *Server) *client {
 	t.Helper()
 	c, err := net.Dial("tcp", f.Addr())
 	if err != nil {
@@ -288,7 +288,7 @@
 }
 
 // halfRead waits for a connection on which part of a command has been read.
-func halfRead(f *Front) *conn {
+func halfRead(f *Server) *conn {
 	for {
 		f.mu.Lock()
 		for c := range f.conns {
@@ -331,7 +331,7 @@
 
 // A slow reader's answers pile up to a bound; past it the connection ends, and nobody else waits.
 func TestSlowReaderIsLetGo(t *testing.T) {
-	f, e := serve(t, func(f *Front) { f.Piled = 256 << 10; f.Conns.Store(16) })
+	f, e := serve(t, func(f *Server) { f.MaxPendingBytes = 256 << 10; f.MaxConns.Store(16) })
 	c := dial(t, f)
 	c.Conn.(*net.TCPConn).SetReadBuffer(4 << 10)
 	value := make([]byte, 64<<10)
@@ -392,7 +392,7 @@
 
 // Danger: hundreds that connect and say nothing keep good clients out, or have them thrown out.
 func TestSilentConnectionsMakeWayForGoodOnes(t *testing.T) {
-	f, e := serve(t, func(f *Front) { f.Conns.Store(8) })
+	f, e := serve(t, func(f *Server) { f.MaxConns.Store(8) })
 	busy, idle := dial(t, f), dial(t, f)
 	busy.send(get("a"))
 	o := wait(t, e.taken)
@@ -417,7 +417,7 @@
 // Danger: where each newcomer waits for another's end in turn, a crowd that asks once and stays makes all of them wait
 // until their time is up, and come again.
 func TestCrowdThatStaysDoesNotHoldUpNewcomers(t *testing.T) {
-	f, e := serve(t, func(f *Front) { f.Conns.Store(30) })
+	f, e := serve(t, func(f *Server) { f.MaxConns.Store(30) })
 	var crowd []*client
 	for range 30 {
 		c := dial(t, f)
@@ -435,7 +435,7 @@
 	f.mu.Lock()
 	n := len(f.conns)
 	f.mu.Unlock()
-	if n > int(f.Conns.Load()) || f.evicted.Load() < 20 || f.evicted.Load() > 40 || f.crowded.Load() > 0 {
+	if n > int(f.MaxConns.Load()) || f.evicted.Load() < 20 || f.evicted.Load() > 40 || f.crowded.Load() > 0 {
 		t.Errorf("%d open, %d evicted for 20 newcomers, %d turned away", n, f.evicted.Load(), f.crowded.Load())
 	}
 	for i, c := range crowd[:16] { // the longest idle ones have made way: half, and one for each newcomer from there on
@@ -447,7 +447,7 @@
 
 // Danger: clients may keep so many connections and no more; who asks once and stays uses them up.
 func TestIdleOnesAreAtMostHalf(t *testing.T) {
-	f, _ := serve(t, func(f *Front) { f.Conns.Store(40) })
+	f, _ := serve(t, func(f *Server) { f.MaxConns.Store(40) })
 	for range 20 {
 		c := dial(t, f)
 		c.send(words("PING"))
@@ -463,7 +463,7 @@
 
 // Danger: buffers that each may grow do so together.
 func TestHalfReadCommandsShareABound(t *testing.T) {
-	f, _ := serve(t, func(f *Front) { f.Piled = 200 << 10 })
+	f, _ := serve(t, func(f *Server) { f.MaxPendingBytes = 200 << 10 })
 	half := words("CACHE.SET", "k", "id", "c=put,d=5", strings.Repeat("x", 64<<10))
 	var turnedAway int
 	for range 10 {
@@ -474,7 +474,7 @@
 			turnedAway++
 		}
 	}
-	if held := f.buffered.Load(); turnedAway == 0 || held > f.Piled+int64(10*buffer.Most) {
+	if held := f.buffered.Load(); turnedAway == 0 || held > f.MaxPendingBytes+int64(10*buffer.Most) {
 		t.Errorf("%d turned away, %d bytes held", turnedAway, held)
 	}
 }
@@ -500,7 +500,7 @@
 		"*-1\r\n", words("CACHE.GET", "k", "id", "c=read,d=1e9,,=")} {
 		f.Add([]byte(seed))
 	}
-	names := NewNames(known, figures.New())
+	names := NewNameTable(known, figures.New())
 	f.Fuzz(func(t *testing.T, b []byte) {
 		n, w, err := next(b, nil)
 		if n > len(b) || n > 0 && (err != nil || len(w) == 0) {
@@ -518,7 +518,7 @@
 }
 
 func TestIdleConnectionMakesRoomForANewOne(t *testing.T) {
-	f, e := serve(t, func(f *Front) { f.Conns.Store(2) })
+	f, e := serve(t, func(f *Server) { f.MaxConns.Store(2) })
 	busy, idle := dial(t, f), dial(t, f)
 	busy.send(get("a"))
 	o := wait(t, e.taken)
@@ -581,9 +581,9 @@
 	time.AfterFunc(50*time.Millisecond, func() { close(started) })
 	time.Sleep(400 * time.Millisecond)
 	f.Close()
-	for late := time.Now().Add(patience); f.Open() > 0; time.Sleep(10 * time.Millisecond) {
-		if f.Turn(lifecycle.All, true, 0); time.Now().After(late) {
-			t.Fatalf("%d connections left", f.Open())
+	for late := time.Now().Add(patience); f.OpenConns() > 0; time.Sleep(10 * time.Millisecond) {
+		if f.ApplyPhase(lifecycle.All, true, 0); time.Now().After(late) {
+			t.Fatalf("%d connections left", f.OpenConns())
 		}
 	}
 	all.Wait()
@@ -613,12 +613,12 @@
 	time.Sleep(newcomer + fresh)
 	for _, part := range []float64{0.25, 0.5, 1} {
 		want := len(idle) - int(part*float64(len(idle)))
-		for late := time.Now().Add(patience); f.Open() > want+1+3; time.Sleep(5 * time.Millisecond) {
-			if f.Turn(lifecycle.Answered, true, part); time.Now().After(late) {
-				t.Fatalf("%d open at %v", f.Open(), part)
+		for late := time.Now().Add(patience); f.OpenConns() > want+1+3; time.Sleep(5 * time.Millisecond) {
+			if f.ApplyPhase(lifecycle.Answered, true, part); time.Now().After(late) {
+				t.Fatalf("%d open at %v", f.OpenConns(), part)
 			}
 		}
-		if left := f.Open() - 1; left < want-3 {
+		if left := f.OpenConns() - 1; left < want-3 {
 			t.Errorf("%d left at %v, not about %d", left, part, want)
 		}
 	}
--- a/internal/front/listen.go
+++ b/internal/front/listen.go
@@ -36,7 +36,7 @@
 }
 
 // queued tells whether a connection waits to be accepted, and notes when none did.
-func (f *Front) queued() bool {
+func (f *Server) queued() bool {
 	before := time.Now()
 	raw, err := f.listener.SyscallConn()
 	if err != nil {
@@ -55,7 +55,7 @@
 }
 
 // since is a moment at which a connection that has just been accepted was not there; queued: it waited already when accepting began.
-func (f *Front) since(queued bool) time.Time {
+func (f *Server) since(queued bool) time.Time {
 	if queued {
 		return f.vacant
 	}
--- a/internal/front/long.go
+++ b/internal/front/long.go
@@ -19,27 +19,27 @@
 
 // long takes a command with a value that is longer than engine.Whole, of which the head stands in the buffer. The value is
 // kept in parts, as it comes, and within one budget for all clients. It tells whether to read on.
-func (c *conn) long(l *resp.Long) bool {
+func (c *conn) long(l *resp.BulkTooLongError) bool {
 	words := l.Before(c.buf.Bytes())
 	for i, word := range words {
 		words[i] = bytes.Clone(word)
 	}
-	c.buf.Take(l.From)
+	c.buf.Discard(l.Offset)
 	c.mu.Lock()
 	c.half, c.heard = true, true
 	c.mu.Unlock()
-	held := c.front.long.TryAcquire(int64(l.Size))
+	held := c.front.long.TryAcquire(int64(l.Length))
 	if !held {
 		room, cancel := context.WithTimeout(context.Background(), c.front.room)
 		end := c.watch(cancel)
-		held = c.front.long.Acquire(room, int64(l.Size)) == nil
+		held = c.front.long.Acquire(room, int64(l.Length)) == nil
 		end()
 		cancel()
 	}
-	parts, err := c.parts(l.Size, held)
+	parts, err := c.parts(l.Length, held)
 	if err != nil {
 		if held {
-			c.front.long.Release(int64(l.Size))
+			c.front.long.Release(int64(l.Length))
 		}
 		if errors.Is(err, errLong) {
 			c.end(&c.front.halves, err)
@@ -55,7 +55,7 @@
 		c.front.full.Add(1)
 		return c.busy(words)
 	}
-	return c.command(append(words, nil), parts, c.source.came, func() { c.front.long.Release(int64(l.Size)) })
+	return c.command(append(words, nil), parts, c.source.came, func() { c.front.long.Release(int64(l.Length)) })
 }
 
 // parts reads a value and the line end behind it; what is not held is thrown away.
@@ -70,7 +70,7 @@
 		for len(part) < cap(part) && len(part) < left {
 			rest := part[len(part):min(cap(part), left)]
 			n := copy(rest, c.buf.Bytes())
-			if c.buf.Take(n); n == 0 {
+			if c.buf.Discard(n); n == 0 {
 				if !c.wait(late) {
 					return nil, errLong
 				}
@@ -106,7 +106,7 @@
 	if string(c.buf.Bytes()[:2]) != "\r\n" {
 		return nil, errFraming
 	}
-	c.buf.Take(2)
+	c.buf.Discard(2)
 	return parts, nil
 }
 
--- a/internal/front/long_test.go
+++ b/internal/front/long_test.go
@@ -24,13 +24,13 @@
 	if got := bytes.Join(o.Request.Parts, nil); string(got) != value || o.Request.Size() != len(value) || len(o.Request.Value) > 0 {
 		t.Errorf("%d bytes came", len(got))
 	}
-	if !f.long.TryAcquire(f.Long-int64(len(value))) || f.long.TryAcquire(1) {
+	if !f.long.TryAcquire(f.MaxLongValueBytes-int64(len(value))) || f.long.TryAcquire(1) {
 		t.Error("room is not what is left")
 	}
-	f.long.Release(f.Long - int64(len(value)))
+	f.long.Release(f.MaxLongValueBytes - int64(len(value)))
 	o.Reply.Acked([]byte("receipt"))
 	c.want("$7", "receipt", "+PONG")
-	if o.Over(); !f.long.TryAcquire(f.Long) {
+	if o.Over(); !f.long.TryAcquire(f.MaxLongValueBytes) {
 		t.Error("room not given back")
 	}
 }
@@ -38,13 +38,13 @@
 // Danger: values that many send at once fill the memory; one that finds no room must get its answer all the same.
 func TestLongWritesWithoutRoomAreTurnedAway(t *testing.T) {
 	f, e := serve(t, nil)
-	f.long.TryAcquire(f.Long)
+	f.long.TryAcquire(f.MaxLongValueBytes)
 	c := dial(t, f)
 	c.send(words("CACHE.SET", "k", "id", "c=put,d=5000", strings.Repeat("x", 100000)) + words("CACHE.GET", "k", "id2", "c=read,d=5000"))
 	c.want("-BUSY")
 	wait(t, e.taken).Reply.Acked([]byte("v"))
 	c.want("$1", "v")
-	for late := time.Now().Add(patience); f.Book.InFlight.Load() != 0; time.Sleep(time.Millisecond) { // counted behind the write
+	for late := time.Now().Add(patience); f.Metrics.InFlight.Load() != 0; time.Sleep(time.Millisecond) { // counted behind the write
 		if time.Now().After(late) {
 			t.Fatal("still in flight")
 		}
@@ -71,7 +71,7 @@
 	c := dial(t, f)
 	c.send(words("CACHE.SET", "k", "id", "c=put,d=5", long))
 	c.want("-BUSY")
-	for late := time.Now().Add(patience); !f.long.TryAcquire(f.Long); time.Sleep(time.Millisecond) {
+	for late := time.Now().Add(patience); !f.long.TryAcquire(f.MaxLongValueBytes); time.Sleep(time.Millisecond) {
 		if time.Now().After(late) {
 			t.Fatal("room not given back")
 		}
@@ -123,8 +123,8 @@
 			t.Errorf("%+v: %d bytes, and the client can't tell", k, len(rest))
 		}
 	}
-	if n := f.Book.Class("read"); f.Book.InFlight.Load() != 0 || n == nil || f.Book.Sum(2) != 4 {
-		t.Errorf("%d in flight, %d failed", f.Book.InFlight.Load(), f.Book.Sum(2))
+	if n := f.Metrics.Class("read"); f.Metrics.InFlight.Load() != 0 || n == nil || f.Metrics.Sum(2) != 4 {
+		t.Errorf("%d in flight, %d failed", f.Metrics.InFlight.Load(), f.Metrics.Sum(2))
 	}
 }
 
--- a/internal/front/reader.go
+++ b/internal/front/reader.go
@@ -54,8 +54,8 @@
 		now, received := time.Now(), c.source.came
 		for {
 			n, words, err := next(c.buf.Bytes(), args)
-			var long *resp.Long
-			if errors.As(err, &long) && long.Word == 4 && long.Words == 5 && long.Size > 0 && long.Size <= engine.Longest {
+			var long *resp.BulkTooLongError
+			if errors.As(err, &long) && long.Index == 4 && long.ArrayLength == 5 && long.Length > 0 && long.Length <= engine.Longest {
 				if !c.long(long) {
 					return
 				}
@@ -73,7 +73,7 @@
 			if !c.command(words, nil, received, nil) {
 				return
 			}
-			c.buf.Take(n)
+			c.buf.Discard(n)
 			c.began = time.Time{}
 		}
 		if c.refused >= mostRefused {
@@ -104,7 +104,7 @@
 func (c *conn) account() error {
 	grown := c.buf.Size() - c.size
 	c.size += grown
-	if sum := c.front.buffered.Add(int64(grown)); grown > 0 && sum > c.front.Piled {
+	if sum := c.front.buffered.Add(int64(grown)); grown > 0 && sum > c.front.MaxPendingBytes {
 		return errMemory
 	}
 	return nil
@@ -306,7 +306,7 @@
 		return false
 	}
 	if c.slots = append(c.slots, s); s.class != nil {
-		c.front.Book.InFlight.Add(1)
+		c.front.Metrics.InFlight.Add(1)
 	}
 	c.heard = true
 	c.piled += len(s.answer)
--- a/internal/front/received_test.go
+++ b/internal/front/received_test.go
@@ -37,7 +37,7 @@
 // Danger: a value waits for room, all of it in the system's buffer by then, and its client's time counts from when there was room.
 func TestTheTimeOfAValueThatWaitsForRoomRunsOn(t *testing.T) {
 	value := strings.Repeat("v", 100<<10)
-	f, e := serve(t, func(f *Front) { f.Long = int64(len(value)) })
+	f, e := serve(t, func(f *Server) { f.MaxLongValueBytes = int64(len(value)) })
 	set := func(id string) string {
 		return words("CACHE.SET", "k", id, "c=put,d="+longWait, value)
 	}
@@ -82,7 +82,7 @@
 
 // Danger: a connection stands in the queue of those that are not accepted yet, a command behind it, whose time counts from when it is.
 func TestTheTimeOfACommandOnAConnectionNotYetAcceptedRunsOn(t *testing.T) {
-	f, e := serve(t, func(f *Front) { f.Conns.Store(2) })
+	f, e := serve(t, func(f *Server) { f.MaxConns.Store(2) })
 	busy := []*client{dial(t, f), dial(t, f)}
 	for i, c := range busy { // with no room left, accepting stops for a while at the next one
 		c.send(words("CACHE.GET", "k", fmt.Sprint("busy", i), "c=read,d="+longWait))
@@ -114,7 +114,7 @@
 // again for a while, time counts as ever. On a socket of a kind for which the system keeps no time of what it received, all that is known is the pulse.
 func TestTheTimeOfACommandThatCameInAStallRunsOn(t *testing.T) {
 	beat := pulse.New(time.Now())
-	f, e := serve(t, func(f *Front) { f.Pulse = beat })
+	f, e := serve(t, func(f *Server) { f.Pulse = beat })
 	c := pairOn(t, "unix", filepath.Join(t.TempDir(), "s"), func(nc net.Conn) { f.admit(nc, time.Now()) })
 	c.send(words("PING"))
 	c.want("+PONG")
@@ -206,7 +206,7 @@
 // a part of the time only, each request that comes is taken for one of before.
 func TestTheTimeOfACommandThatCameInAnEarlierStall(t *testing.T) {
 	beat := pulse.New(time.Now())
-	f, e := serve(t, func(f *Front) { f.Pulse = beat })
+	f, e := serve(t, func(f *Server) { f.Pulse = beat })
 	woken := newGate()
 	c := pair(t, func(nc net.Conn) { f.admit(&wokenSocket{nc.(*net.TCPConn), woken}, time.Now()) })
 	time.Sleep(2 * pulse.Every) // its reader waits by now
--- a/internal/front/slot.go
+++ b/internal/front/slot.go
@@ -57,7 +57,7 @@
 	first := c.slots[0] == s
 	// Over the bound for all clients, those that left more than their part unread are let go: a few slow readers
 	// must not take the memory that all need.
-	slow := total > c.front.Piled && int64(c.piled) > c.front.Piled/max(c.front.Conns.Load(), 1)
+	slow := total > c.front.MaxPendingBytes && int64(c.piled) > c.front.MaxPendingBytes/max(c.front.MaxConns.Load(), 1)
 	c.mu.Unlock()
 	if slow {
 		c.front.slow.Add(1)
@@ -77,18 +77,18 @@
 }
 
 // log tells of a request whose answer has been written, or could not be.
-func (s *slot) log(f *Front, err error) {
+func (s *slot) log(f *Server, err error) {
 	if s.op != nil {
 		f.written(s.op, s.end.String(), err)
 	}
 }
 
 // over books an op's end: once its last byte is written, or as it was lost with its client.
-func (s *slot) over(f *Front, written bool) {
+func (s *slot) over(f *Server, written bool) {
 	if s.class == nil {
 		return
 	}
-	f.Book.InFlight.Add(-1)
+	f.Metrics.InFlight.Add(-1)
 	if written {
 		s.class.Count(s.end)
 	}
--- a/internal/front/trace.go
+++ b/internal/front/trace.go
@@ -68,7 +68,7 @@
 }
 
 // written logs a request's answer as it is written: at debug, and at warn if it is late.
-func (f *Front) written(o *engine.Op, end string, err error) {
+func (f *Server) written(o *engine.Op, end string, err error) {
 	now := time.Now()
 	late := -o.Left(now)
 	l := f.Log.Debug()
@@ -83,7 +83,7 @@
 }
 
 // lost logs a request whose connection was closed ahead of its answer, with where it stood; at warn if the proxy closed it.
-func (f *Front) lost(o *engine.Op, stood owed, why closeReason) {
+func (f *Server) lost(o *engine.Op, stood owed, why closeReason) {
 	l := f.Log.Debug()
 	if why != clientGone && f.late.allow(time.Now()) {
 		l = f.Log.Warn()
--- a/internal/front/trace_test.go
+++ b/internal/front/trace_test.go
@@ -41,7 +41,7 @@
 // What became of a request, and where it stood, is told by the log alone: answered, left by its client unanswered, and not read by it.
 func TestALostRequestIsExplainedByTheLog(t *testing.T) {
 	log := &kept{}
-	f, e := serve(t, func(f *Front) { f.Log = zerolog.New(log).Level(zerolog.DebugLevel) })
+	f, e := serve(t, func(f *Server) { f.Log = zerolog.New(log).Level(zerolog.DebugLevel) })
 	one := func(id string) map[string]any {
 		t.Helper()
 		until(t, "a line about "+id, func() bool { return len(log.about(id)) > 0 })
@@ -80,7 +80,7 @@
 // An answer past its deadline is told at warn, and not without bound.
 func TestLateAnswersAreToldWithinABound(t *testing.T) {
 	log := &kept{}
-	f := &Front{Log: zerolog.New(log).Level(zerolog.InfoLevel)}
+	f := &Server{Log: zerolog.New(log).Level(zerolog.InfoLevel)}
 	for range 5 * mostWarnings {
 		o := &engine.Op{At: time.Now().Add(-time.Second)}
 		o.Request.ID = "late"
--- a/internal/origin/origin_test.go
+++ b/internal/origin/origin_test.go
@@ -226,8 +226,8 @@
 }
 
 func pooled() *pool.Shared {
-	s := &pool.Shared{Dial: patience, Idle: time.Minute, Log: zerolog.Nop()}
-	s.Sockets.Store(10)
+	s := &pool.Shared{DialTimeout: patience, IdleTimeout: time.Minute, Log: zerolog.Nop()}
+	s.MaxConnections.Store(10)
 	return s
 }
 
--- a/internal/pool/budget.go
+++ b/internal/pool/budget.go
@@ -12,11 +12,11 @@
 
 // Shared is what all pools of a proxy have in common.
 type Shared struct {
-	Dial      time.Duration // a connection not made by then has failed
-	Idle      time.Duration // the servers close idle connections after this
-	Sockets   atomic.Int64  // open connections of all pools together, at most
+	DialTimeout      time.Duration // a connection not made by then has failed
+	IdleTimeout      time.Duration // the servers close idle connections after this
+	MaxConnections   atomic.Int64  // open connections of all pools together, at most
 	Log       zerolog.Logger
-	Written   func() // called for each push that is written whole; nil: nobody counts
+	OnAttemptWritten   func() // called for each push that is written whole; nil: nobody counts
 	mu        sync.Mutex
 	pools     map[*Pool]struct{}
 	idle      idleConns
@@ -33,17 +33,17 @@
 	CutOff    atomic.Int64 // and those that were not passed on whole
 }
 
-// Tune changes how long a connection may take to come up, and how long servers keep idle ones.
-func (s *Shared) Tune(dial, idle time.Duration) {
+// SetTimeouts changes how long a connection may take to come up, and how long servers keep idle ones.
+func (s *Shared) SetTimeouts(dial, idle time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.Dial, s.Idle = dial, idle
+	s.DialTimeout, s.IdleTimeout = dial, idle
 }
 
 func (s *Shared) dial() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.Dial
+	return s.DialTimeout
 }
 
 // fresh is since when a connection may have been idle and still be used. Danger: Sweep comes to an older one up to a second later, and
@@ -51,10 +51,10 @@
 func (s *Shared) fresh(now time.Time) time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.Idle <= 0 {
+	if s.IdleTimeout <= 0 {
 		return time.Time{}
 	}
-	return now.Add(-s.Idle * 9 / 10)
+	return now.Add(-s.IdleTimeout * 9 / 10)
 }
 
 // Open is the number of open connections.
@@ -62,7 +62,7 @@
 
 // take reserves a descriptor.
 func (s *Shared) take() bool {
-	for s.open.Add(1) > s.Sockets.Load() {
+	for s.open.Add(1) > s.MaxConnections.Load() {
 		s.open.Add(-1)
 		if !s.idle.closeOldest() {
 			s.Shortages.Add(1)
@@ -72,8 +72,8 @@
 	return true
 }
 
-// Release closes all idle connections: nobody will use them.
-func (s *Shared) Release() {
+// CloseIdle closes all idle connections: nobody will use them.
+func (s *Shared) CloseIdle() {
 	for _, p := range s.all() {
 		p.Release()
 	}
@@ -85,9 +85,9 @@
 	return slices.Collect(maps.Keys(s.pools))
 }
 
-// Sweep closes idle connections that the servers have ended, or soon will: a push written as one closes counts as one
+// CloseExpired closes idle connections that the servers have ended, or soon will: a push written as one closes counts as one
 // that may have run. It is called every second or so.
-func (s *Shared) Sweep(now time.Time) {
+func (s *Shared) CloseExpired(now time.Time) {
 	fresh := s.fresh(now)
 	for _, p := range s.all() {
 		p.mu.Lock()
--- a/internal/pool/conn.go
+++ b/internal/pool/conn.go
@@ -180,8 +180,8 @@
 	c.pool.mu.Lock()
 	a.stage = written
 	c.pool.mu.Unlock()
-	if c.pool.shared.Written != nil && !a.request.Probe {
-		c.pool.shared.Written()
+	if c.pool.shared.OnAttemptWritten != nil && !a.request.Probe {
+		c.pool.shared.OnAttemptWritten()
 	}
 }
 
--- a/internal/pool/deadline_test.go
+++ b/internal/pool/deadline_test.go
@@ -197,7 +197,7 @@
 	const originKind = 1
 	rules := policy.Settings{Categories: []policy.Category{{TTL: units(time.Hour)}}, MostPushes: 5, Tick: 50, OriginKind: originKind}
 	common := shared()
-	common.Dial = long
+	common.DialTimeout = long
 	s.next = map[uint32]int{}
 	e := engine.New(engine.Options{Settings: rules, Logger: zerolog.Nop(), MaxOps: 100, MaxBytes: 1 << 30,
 		Module: func(_ policy.Settings, _ uint64, h policy.Host) engine.Module { s.host = h; return s },
@@ -220,9 +220,9 @@
 	go func() { e.Run(stop); close(stopped) }()
 	t.Cleanup(func() { close(stop); <-stopped })
 	book := figures.New()
-	names := front.NewNames(settings.Settings{Categories: []string{"read"}, Policy: rules}, book)
-	f := &front.Front{Engine: e, Book: book, Names: names, Piled: 1 << 30, Long: 1 << 30, Log: zerolog.Nop()}
-	f.Conns.Store(100)
+	names := front.NewNameTable(settings.Settings{Categories: []string{"read"}, Policy: rules}, book)
+	f := &front.Server{Engine: e, Metrics: book, Names: names, MaxPendingBytes: 1 << 30, MaxLongValueBytes: 1 << 30, Log: zerolog.Nop()}
+	f.MaxConns.Store(100)
 	if err := f.Listen("127.0.0.1:0", false); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/pool/endings_test.go
+++ b/internal/pool/endings_test.go
@@ -133,8 +133,8 @@
 			t.Parallel()
 			server := shutServer(t)
 			s := shared()
-			s.Dial = long
-			s.Sockets.Store(2 * many)
+			s.DialTimeout = long
+			s.MaxConnections.Store(2 * many)
 			p := pool.New(s, server.addr, caches.Protocol{})
 			t.Cleanup(p.Retire)
 			var ended []chan engine.Result
@@ -284,7 +284,7 @@
 	if s.Opened.Load() != 1 || s.Reused.Load() != 1 {
 		t.Errorf("%d opened, %d used again", s.Opened.Load(), s.Reused.Load())
 	}
-	s.Tune(patience, 20*time.Millisecond) // the server has closed it by now, or is about to: it has rested for as long
+	s.SetTimeouts(patience, 20*time.Millisecond) // the server has closed it by now, or is about to: it has rested for as long
 	ask("c")
 	if s.Opened.Load() != 2 || s.Reused.Load() != 1 {
 		t.Errorf("%d opened, %d used again", s.Opened.Load(), s.Reused.Load())
@@ -342,7 +342,7 @@
 				got <- n
 			})
 			s, whole := shared(), make(chan bool, 1)
-			s.Written = func() { whole <- true }
+			s.OnAttemptWritten = func() { whole <- true }
 			p := pool.New(s, addr, caches.Protocol{})
 			r := request("a")
 			r.Write, r.Parts = true, [][]byte{make([]byte, c.size)}
@@ -375,7 +375,7 @@
 		io.WriteString(c, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
 	})
 	s, whole := shared(), make(chan bool, 1)
-	s.Written = func() { whole <- true }
+	s.OnAttemptWritten = func() { whole <- true }
 	p := pool.New(s, addr, caches.Protocol{})
 	results, giveUp := push(p, request("a"))
 	wait(t, read)
@@ -407,7 +407,7 @@
 	if s.Open() != 3 {
 		t.Errorf("%d open", s.Open())
 	}
-	if s.Release(); s.Open() != 0 {
+	if s.CloseIdle(); s.Open() != 0 {
 		t.Errorf("%d open", s.Open())
 	}
 }
--- a/internal/pool/idle_test.go
+++ b/internal/pool/idle_test.go
@@ -42,8 +42,8 @@
 // attempt pays for all of them. Here the mutexes of all pools but two are held, so that whoever looks at one more waits for ever.
 func TestRoomIsMadeWithoutALookAtOtherPools(t *testing.T) {
 	const servers = 3200
-	shared := &Shared{Dial: time.Second}
-	shared.Sockets.Store(2)
+	shared := &Shared{DialTimeout: time.Second}
+	shared.MaxConnections.Store(2)
 	var pools []*Pool
 	for n := range servers {
 		pools = append(pools, New(shared, fmt.Sprint("server-", n), noProtocol{}))
@@ -71,7 +71,7 @@
 
 // One that is used again, or closed, is not in the order any more; with none there is no room.
 func TestTheOrderOfIdleConnections(t *testing.T) {
-	shared := &Shared{Dial: time.Second}
+	shared := &Shared{DialTimeout: time.Second}
 	p := New(shared, "server", noProtocol{})
 	a, b, c := idle(p), idle(p), idle(p)
 	p.mu.Lock()
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -270,7 +270,7 @@
 	addr := listen(t, func(_ int, c net.Conn) { <-hold })
 	defer close(hold)
 	s := shared()
-	s.Sockets.Store(1)
+	s.MaxConnections.Store(1)
 	p := pool.New(s, addr, caches.Protocol{})
 	first, giveUp := push(p, request("a"))
 	for s.Open() == 0 {
@@ -304,7 +304,7 @@
 		}
 	}
 	s := shared()
-	s.Sockets.Store(2)
+	s.MaxConnections.Store(2)
 	for i := range 3 {
 		results, _ := push(pool.New(s, listen(t, serve), caches.Protocol{}), request("a"))
 		if res := wait(t, results); res.Outcome != policy.Acked {
@@ -409,24 +409,24 @@
 	two, _ := push(p, request("b"))
 	wait(t, one)
 	wait(t, two)
-	if s.Sweep(time.Now()); s.Open() != 2 {
+	if s.CloseExpired(time.Now()); s.Open() != 2 {
 		t.Errorf("%d open, both are well", s.Open())
 	}
 	close(end)
-	for late := time.Now().Add(patience); s.Open() > 1 && time.Now().Before(late); s.Sweep(time.Now()) {
+	for late := time.Now().Add(patience); s.Open() > 1 && time.Now().Before(late); s.CloseExpired(time.Now()) {
 		time.Sleep(time.Millisecond)
 	}
 	if s.Open() != 1 || s.Expired.Load() != 1 {
 		t.Errorf("%d open after one end", s.Open())
 	}
-	if s.Sweep(time.Now().Add(s.Idle)); s.Open() != 0 {
+	if s.CloseExpired(time.Now().Add(s.IdleTimeout)); s.Open() != 0 {
 		t.Errorf("%d open past their time", s.Open())
 	}
 }
 
 func pooled() *pool.Shared {
-	s := &pool.Shared{Dial: patience, Idle: time.Minute, Log: zerolog.Nop()}
-	s.Sockets.Store(10)
+	s := &pool.Shared{DialTimeout: patience, IdleTimeout: time.Minute, Log: zerolog.Nop()}
+	s.MaxConnections.Store(10)
 	return s
 }
 
--- a/internal/resp/resp.go
+++ b/internal/resp/resp.go
@@ -9,28 +9,28 @@
 
 const mostDigits = 9 // of a length: more can only be nonsense, and a line without end is found out early
 
-// Form is what may come.
-type Form struct {
-	Words   int  // at most, and one at least
-	Longest int  // bulk string
-	Null    bool // a bulk string may be null
+// Limits is what may come.
+type Limits struct {
+	MaxElements   int  // at most, and one at least
+	MaxBulkLength int  // bulk string
+	AllowNull    bool // a bulk string may be null
 }
 
-// Long is a bulk string longer than the form allows. What stands before it is whole and in the form.
-type Long struct {
-	Words, Word int // of the array; from 0
-	Size, From  int // its length, below 0 for nonsense; where it begins
-	Longest     int
+// BulkTooLongError is a bulk string longer than the form allows. What stands before it is whole and in the form.
+type BulkTooLongError struct {
+	ArrayLength, Index int // of the array; from 0
+	Length, Offset  int // its length, below 0 for nonsense; where it begins
+	MaxLength     int
 }
 
-func (l *Long) Error() string {
-	return fmt.Sprintf("protocol error: a bulk string of %d bytes, at most %d", l.Size, l.Longest)
+func (l *BulkTooLongError) Error() string {
+	return fmt.Sprintf("protocol error: a bulk string of %d bytes, at most %d", l.Length, l.MaxLength)
 }
 
 // Before gives the words ahead of it, which stand at the start of b.
-func (l *Long) Before(b []byte) (words [][]byte) {
+func (l *BulkTooLongError) Before(b []byte) (words [][]byte) {
 	_, at, _ := length(b, 0, '*')
-	for range l.Word {
+	for range l.Index {
 		size, from, _ := length(b, at, '$')
 		words = append(words, b[from:from+size])
 		at = from + size + 2
@@ -44,14 +44,14 @@
 	errNumber = errors.New("protocol error: not an array of so many bulk strings")
 )
 
-// Check finds the end of the array of bulk strings at the start of b. n is 0 while some of it is missing; an error
+// CheckArray finds the end of the array of bulk strings at the start of b. n is 0 while some of it is missing; an error
 // means that no rest can make it whole, and is given as soon as that is certain.
-func (f Form) Check(b []byte) (n int, err error) {
+func (f Limits) CheckArray(b []byte) (n int, err error) {
 	count, at, err := length(b, 0, '*')
 	if err != nil || at == 0 {
 		return 0, err
 	}
-	if count < 1 || count > f.Words {
+	if count < 1 || count > f.MaxElements {
 		return 0, errNumber
 	}
 	for i := range count {
@@ -59,12 +59,12 @@
 		if err != nil || from == 0 {
 			return 0, err
 		}
-		if size < 0 && f.Null {
+		if size < 0 && f.AllowNull {
 			at = from
 			continue
 		}
-		if size < 0 || size > f.Longest {
-			return 0, &Long{Words: count, Word: i, Size: size, From: from, Longest: f.Longest}
+		if size < 0 || size > f.MaxBulkLength {
+			return 0, &BulkTooLongError{ArrayLength: count, Index: i, Length: size, Offset: from, MaxLength: f.MaxBulkLength}
 		}
 		end := from + size
 		if len(b) > end && b[end] != '\r' || len(b) > end+1 && b[end+1] != '\n' {
@@ -77,10 +77,10 @@
 	return at, nil
 }
 
-// Bulk finds the end of one bulk string at the start of b, as Check does of an array.
-func (f Form) Bulk(b []byte) (n int, err error) {
+// CheckBulk finds the end of one bulk string at the start of b, as Check does of an array.
+func (f Limits) CheckBulk(b []byte) (n int, err error) {
 	const one = "*1\r\n"
-	n, err = f.Check(append([]byte(one), b...))
+	n, err = f.CheckArray(append([]byte(one), b...))
 	return max(n-len(one), 0), err
 }
 
--- a/internal/resp/resp_test.go
+++ b/internal/resp/resp_test.go
@@ -7,22 +7,22 @@
 	"github.com/tidwall/redcon"
 )
 
-var form = Form{Words: 5, Longest: 100, Null: true}
+var form = Limits{MaxElements: 5, MaxBulkLength: 100, AllowNull: true}
 
 // Danger: what is broken but looks unfinished is waited for until its time is up.
 func TestBrokenIsFoundAtOnce(t *testing.T) {
 	for _, text := range []string{"+", "GET k", "*0", "*6\r\n", "*-1\r\n", "*x", "*1x", "*\r", "*--", "*+1", "*1\r\r", "*1\n",
 		"*1\r\n:", "*1\r\n*", "*1\r\n$101\r\n", "*1\r\n$-2\r\n", "*1\r\n$- ", "*1\r\n$1\r\nab", "*1\r\n$1\r\na\ra",
 		"*1\r\n$3000000000", "*" + strings.Repeat("0", 10)} {
-		n, err := form.Check([]byte(text))
+		n, err := form.CheckArray([]byte(text))
 		if strings.HasPrefix(text, "*0") && len(text) == 2 {
-			n, err = form.Check([]byte(text + "\r\n"))
+			n, err = form.CheckArray([]byte(text + "\r\n"))
 		}
 		if n != 0 || err == nil {
 			t.Errorf("%q: %d, %v", text, n, err)
 		}
 	}
-	if _, err := (Form{Words: 1, Longest: 9}).Check([]byte("*1\r\n$-1\r\n")); err == nil {
+	if _, err := (Limits{MaxElements: 1, MaxBulkLength: 9}).CheckArray([]byte("*1\r\n$-1\r\n")); err == nil {
 		t.Error("a null where none may be")
 	}
 }
@@ -30,11 +30,11 @@
 func TestWholeAndHalf(t *testing.T) {
 	whole := "*4\r\n$3\r\nabc\r\n$0\r\n\r\n$-1\r\n$2\r\n\r\n\r\n"
 	for i := range whole {
-		if n, err := form.Check([]byte(whole[:i])); n != 0 || err != nil {
+		if n, err := form.CheckArray([]byte(whole[:i])); n != 0 || err != nil {
 			t.Errorf("%q: %d, %v", whole[:i], n, err)
 		}
 	}
-	if n, err := form.Check([]byte(whole + "*more")); n != len(whole) || err != nil {
+	if n, err := form.CheckArray([]byte(whole + "*more")); n != len(whole) || err != nil {
 		t.Errorf("%d, %v", n, err)
 	}
 }
@@ -45,7 +45,7 @@
 		f.Add([]byte(seed))
 	}
 	f.Fuzz(func(t *testing.T, b []byte) {
-		n, err := form.Check(b)
+		n, err := form.CheckArray(b)
 		if n > len(b) || n > 0 && err != nil {
 			t.Fatalf("%d, %v", n, err)
 		}
@@ -55,7 +55,7 @@
 			}
 		}
 		if err != nil {
-			if m, again := form.Check(append(b[:len(b):len(b)], "1\r\n$1\r\n"...)); m != 0 || again == nil {
+			if m, again := form.CheckArray(append(b[:len(b):len(b)], "1\r\n$1\r\n"...)); m != 0 || again == nil {
 				t.Errorf("%q: broken, and whole with more", b)
 			}
 		}
