--- a/internal/caches/caches.go
+++ b/internal/caches/caches.go
@@ -29,7 +29,7 @@
 }
 
 // Append writes the command as the client sent it, but for the deadline, which is the attempt's own.
-func (Protocol) Append(b []byte, r *engine.Request, passed deadline.Passed) (out []byte, gap int) {
+func (Protocol) Append(b []byte, r *engine.Request, passed deadline.AttemptDeadline) (out []byte, gap int) {
 	if r.Probe {
 		return redcon.AppendBulkString(redcon.AppendBulkString(redcon.AppendArray(b, 2), "INFO"), "load"), 0
 	}
@@ -87,7 +87,7 @@
 		}
 		var long *resp.BulkTooLongError
 		if errors.As(err, &long) && !r.Probe && long.ArrayLength == form.MaxElements && long.Index == 0 && long.Length > 0 &&
-			long.Length <= engine.Longest {
+			long.Length <= engine.MaxValueBytes {
 			a.buf.Discard(long.Offset)
 			a.size = long.Length
 			return engine.Result{Outcome: policy.Acked, Body: engine.Body{Size: long.Length}}, true, nil
@@ -159,7 +159,7 @@
 const longestLine = 512 // of an error, with its load report
 
 // An answer is an array of the value, how it went and the load report, each of which may be null.
-var form = resp.Limits{MaxElements: 3, MaxBulkLength: engine.Whole, AllowNull: true}
+var form = resp.Limits{MaxElements: 3, MaxBulkLength: engine.MaxContiguousBytes, AllowNull: true}
 
 func spoilt(why any) error {
 	if long, ok := why.(*resp.BulkTooLongError); ok {
@@ -198,7 +198,7 @@
 	default:
 		return 0, res, spoilt("no word for how it went")
 	}
-	res.Pace, res.Garbled = report(string(parts[2].Data), pace)
+	res.ReportedLatency, res.ReportInvalid = report(string(parts[2].Data), pace)
 	if null(parts[0]) {
 		res.Outcome = policy.Miss
 	} else {
@@ -211,7 +211,7 @@
 // asked for, or says it in no figure that can be, tells nothing.
 func (p Protocol) told(b []byte) (n int, res engine.Result, err error) {
 	if b[0] == redcon.Error {
-		if n, res, err = line(b, ""); n > 0 && res.Outcome == policy.Full {
+		if n, res, err = line(b, ""); n > 0 && res.Outcome == policy.Rejected {
 			res = engine.Result{Outcome: policy.Errored, Err: errUntold}
 		}
 		return n, res, err
@@ -224,8 +224,8 @@
 	}
 	_, reply := redcon.ReadNextRESP(b[:n])
 	var waiting, rate bool
-	res.Waiting, waiting = value(string(reply.Data), p.WaitingField)
-	res.Rate, rate = value(string(reply.Data), p.RateField)
+	res.QueueLength, waiting = value(string(reply.Data), p.WaitingField)
+	res.OpsPerSecond, rate = value(string(reply.Data), p.RateField)
 	if !waiting || !rate {
 		res.Outcome, res.Err = policy.Errored, errUntold
 	}
@@ -278,10 +278,10 @@
 		return 0, res, spoilt("a broken line")
 	}
 	word, rest, _ := strings.Cut(string(b[1:end]), " ")
-	res.Pace, res.Garbled = report(rest[strings.LastIndexByte(rest, ' ')+1:], pace)
+	res.ReportedLatency, res.ReportInvalid = report(rest[strings.LastIndexByte(rest, ' ')+1:], pace)
 	switch word {
 	case "BUSY":
-		res.Outcome = policy.Full
+		res.Outcome = policy.Rejected
 	case "ERR", "SYNTAX", "NOPERM":
 		res.Outcome, res.Err = policy.Errored, errors.New(strings.ToValidUTF8(string(b[1:end]), "?"))
 	default:
--- a/internal/caches/caches_test.go
+++ b/internal/caches/caches_test.go
@@ -27,7 +27,7 @@
 		if n > 0 && res.Outcome == policy.Acked && !(bytes.HasPrefix(b, []byte("*3\r\n")) && bytes.Contains(b[:n], res.Value)) {
 			t.Errorf("%q serves %q", b, res.Value)
 		}
-		if n > 0 && res.Outcome == policy.Full && !bytes.HasPrefix(b, []byte("-BUSY")) {
+		if n > 0 && res.Outcome == policy.Rejected && !bytes.HasPrefix(b, []byte("-BUSY")) {
 			t.Errorf("%q proves that nothing has run", b)
 		}
 		if more := append(b[:len(b):len(b)], "\r\n$-1\r\n"...); err != nil {
@@ -57,8 +57,8 @@
 		t.Error("garbled, though not read")
 	}
 	for line, want := range map[string]policy.Time{"-BUSY svc_ms=7\r\n": 70, "-BUSY\r\n": 0, "-ERR failed svc_ms=7\r\n": 70, "-ERR failed\r\n": 0} {
-		if _, res, err := next([]byte(line), "svc_ms"); err != nil || res.Pace != want {
-			t.Errorf("%q: %v, %v", line, res.Pace, err)
+		if _, res, err := next([]byte(line), "svc_ms"); err != nil || res.ReportedLatency != want {
+			t.Errorf("%q: %v, %v", line, res.ReportedLatency, err)
 		}
 	}
 }
@@ -66,14 +66,14 @@
 // What a probe brings is two figures or nothing, and never an op's outcome.
 func TestProbesAreReadStrictly(t *testing.T) {
 	p := Protocol{WaitingField: "pending", RateField: "served_ps"}
-	if got, _ := p.Append(nil, &engine.Request{Probe: true}, deadline.Passed{}); string(got) != "*2\r\n$4\r\nINFO\r\n$4\r\nload\r\n" {
+	if got, _ := p.Append(nil, &engine.Request{Probe: true}, deadline.AttemptDeadline{}); string(got) != "*2\r\n$4\r\nINFO\r\n$4\r\nload\r\n" {
 		t.Errorf("asked with %q", got)
 	}
 	for report, told := range map[string]bool{"pending=3,served_ps=20.5": true, "served_ps=20.5,x0=7,pending=3": true, "pending=3": false,
 		"pending=3,served_ps=NaN": false, "pending=3,served_ps=-20": false, "pending=3,served_ps=Inf": false, "": false,
 		"pending=3,pending=4,served_ps=1": false, "pending=,served_ps=1": false} {
 		n, res, err := p.told([]byte(fmt.Sprintf("$%d\r\n%s\r\n", len(report), report)))
-		if err != nil || n == 0 || told != (res.Outcome == policy.Acked) || told && (res.Waiting != 3 || res.Rate != 20.5) {
+		if err != nil || n == 0 || told != (res.Outcome == policy.Acked) || told && (res.QueueLength != 3 || res.OpsPerSecond != 20.5) {
 			t.Errorf("%q: %d, %+v, %v", report, n, res, err)
 		}
 	}
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -91,7 +91,7 @@
 			if len(words) == 2 {
 				over, err = time.ParseDuration(words[1])
 			}
-			if len(words) < 1 || len(words) > 2 || err != nil || over < 0 || over > state.LongestOver {
+			if len(words) < 1 || len(words) > 2 || err != nil || over < 0 || over > state.MaxSiteDuration {
 				http.Error(w, "the body holds no site, or no span of at most an hour behind it, such as \"30s\"", http.StatusBadRequest)
 				return
 			}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -111,7 +111,7 @@
 		learned = kept.take()
 	}
 	beat := pulse.New(time.Now())
-	e := engine.New(engine.Options{Pulse: beat, Out: word.Out, Back: word.Back, Memory: learned, Sites: shifts.sites(word),
+	e := engine.New(engine.Options{StallMonitor: beat, CachesOut: word.CachesOut, ReturnedAt: word.ReturnedAt, Memory: learned, Sites: shifts.sites(word),
 		Settings: s.Policy, Seed: c.Seed, Module: module, Logger: log, MaxOps: most(s), MaxBytes: memory / 8,
 		Connect: func(m engine.Member) engine.Server {
 			if m.Kind == s.Policy.OriginKind {
@@ -121,7 +121,7 @@
 		}})
 	names := discovery.NewNameTable(s.Zones, s.Kinds, log)
 	watch := discovery.New(c.Discovery, names, s.Policy.AskList, log)
-	watch.OnUpdate = e.List
+	watch.OnUpdate = e.UpdateList
 	watch.OriginKind = s.Policy.OriginKind
 	watch.Guard = roster.Guard[time.Duration]{Doubt: said.List.Doubt, Confirm: said.List.Confirm.D()}
 	known, err := watch.LoadKnown(c.Known)
@@ -166,7 +166,7 @@
 	go e.Run(stop)
 	go watch.Run(ctx)
 	go each(ctx, sweepEvery, func() { shared.CloseExpired(time.Now()) })
-	shifts.serving(word.Away) // before the first PING is read
+	shifts.serving(word.DrainClients) // before the first PING is read
 	go f.Serve()
 	if c.Control != "" {
 		go each(ctx, lookEvery, shifts.look)
@@ -177,7 +177,7 @@
 	counters := func() {
 		done := make(chan struct{})
 		e.Do(func(e *engine.Engine) {
-			log.Info().Object("engine", &e.Counters).Object("behind", e.Behind()).Object("clients", f).Object("servers", shared).
+			log.Info().Object("engine", &e.Counters).Object("behind", e.LagCounters()).Object("clients", f).Object("servers", shared).
 				Object("discovery", watch).Msg("counters")
 			close(done)
 		})
@@ -190,7 +190,7 @@
 	reload := func() {
 		next, waiting, err := c.Reload(get)
 		if err == nil {
-			err = e.Retune(next.Settings.Policy, most(next.Settings), reloadTime)
+			err = e.ApplySettings(next.Settings.Policy, most(next.Settings), reloadTime)
 		}
 		if err != nil {
 			book.ReloadsFailed.Inc()
--- a/internal/daemon/days_test.go
+++ b/internal/daemon/days_test.go
@@ -402,12 +402,12 @@
 		}
 	}
 	err := s.say(func() error { free("before it is written"); return nil }, undo,
-		func(w *state.Word) { free("as it is written"); w.Away = true })
-	if w, _ := s.store.Read(); err != nil || !w.Away || undone > 0 {
+		func(w *state.Overrides) { free("as it is written"); w.DrainClients = true })
+	if w, _ := s.store.Read(); err != nil || !w.DrainClients || undone > 0 {
 		t.Errorf("%+v %v, undone %d times", w, err, undone)
 	}
 	s.store = state.Open("/nowhere/at/all", "n", "a")
-	if err := s.say(func() error { return nil }, undo, func(*state.Word) {}); err == nil || undone != 1 {
+	if err := s.say(func() error { return nil }, undo, func(*state.Overrides) {}); err == nil || undone != 1 {
 		t.Errorf("%v, undone %d times: a no has to change nothing", err, undone)
 	}
 }
--- a/internal/daemon/keeper.go
+++ b/internal/daemon/keeper.go
@@ -21,15 +21,15 @@
 	every time.Duration
 
 	mu    sync.Mutex
-	shots *state.Snapshots // nil: nowhere
+	shots *state.SnapshotFile // nil: nowhere
 }
 
 func newKeeper(log zerolog.Logger, o *operators.File, name, listen string, s settings.Settings) *keeper {
 	k := &keeper{log: log, every: o.State.Every.D()}
 	if o.State.Dir != "" {
-		k.shots = state.OpenSnapshots(o.State.Dir, name, listen, s.Print())
-		k.shots.Oldest, k.shots.Half = o.State.Oldest.D(), o.State.HalfLife.D()
-		k.shots.Turn = time.Duration(s.Policy.TipAfter) * 200 * time.Microsecond // two windows, as the module keeps keys
+		k.shots = state.OpenSnapshotFile(o.State.Dir, name, listen, s.Print())
+		k.shots.MaxAge, k.shots.HalfLife = o.State.Oldest.D(), o.State.HalfLife.D()
+		k.shots.KeyWindow = time.Duration(s.Policy.TipAfter) * 200 * time.Microsecond // two windows, as the module keeps keys
 	}
 	return k
 }
@@ -39,10 +39,10 @@
 	if k.shots == nil {
 		return nil
 	}
-	m, age, err := k.shots.Take(time.Now())
+	m, age, err := k.shots.Load(time.Now())
 	if err == nil {
 		k.log.Info().Dur("age", age).Int("caches", len(m.Caches)).Int("keys", len(m.Kept)).Msg("what was learned before is taken")
-	} else if !errors.Is(err, state.ErrNone) {
+	} else if !errors.Is(err, state.ErrNoSnapshot) {
 		k.log.Warn().Err(err).Msg("what was learned before is passed over")
 	}
 	return m
@@ -53,7 +53,7 @@
 	if k.shots != nil {
 		k.mu.Lock()
 		defer k.mu.Unlock()
-		k.shots.Retuned(s.Print())
+		k.shots.SetSettings(s.Print())
 	}
 }
 
@@ -74,7 +74,7 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := time.Now()
-	if last && !k.shots.Ours() || !last && !k.shots.Due(now.Add(k.every/10)) { // the clock's turns are not even
+	if last && !k.shots.AcquireWriteLock() || !last && !k.shots.Due(now.Add(k.every/10)) { // the clock's turns are not even
 		return
 	}
 	m, err := e.Learned(span)
--- a/internal/daemon/shifts.go
+++ b/internal/daemon/shifts.go
@@ -92,7 +92,7 @@
 }
 
 // word is what operators said to the process before this one; what can't be used is passed over.
-func (s *shifts) word() (w state.Word) {
+func (s *shifts) word() (w state.Overrides) {
 	if s.store != nil {
 		var err error
 		if w, err = s.store.Read(); err != nil {
@@ -114,11 +114,11 @@
 
 // look takes the figures that only the engine knows, and follows what was said to another process.
 func (s *shifts) look() {
-	s.engine.Glance(func(c policy.Counts, handed int, longest time.Duration) {
+	s.engine.ReadStats(func(c policy.Counts, handed int, longest time.Duration) {
 		s.book.LongestEvent.Store(longest.Microseconds())
 		s.book.Handed.Store(int64(handed))
-		s.book.Known.Store(int64(c.Listed))
-		s.book.Out.Store(int64(c.Avoided))
+		s.book.Known.Store(int64(c.ListedCaches))
+		s.book.Out.Store(int64(c.ExcludedCaches))
 	})
 	s.file.Lock()
 	defer s.file.Unlock()
@@ -133,21 +133,21 @@
 		s.log.Warn().Err(err).Msg("what operators said is not known; what they said before holds")
 		return
 	}
-	if err := errors.Join(s.engine.SetOut(w.Out, callTime), s.engine.SetSites(s.sites(w), callTime)); err != nil {
+	if err := errors.Join(s.engine.SetAllCachesOut(w.CachesOut, callTime), s.engine.SetAllSites(s.sites(w), callTime)); err != nil {
 		s.log.Warn().Err(err).Msg("caches out by hand not taken over")
 	}
-	s.turnAway(w.Away)
+	s.turnAway(w.DrainClients)
 }
 
 // roles finds out whether another process serves for the same proxy: then each has a part of the limits. The file's mutex
 // is held.
 func (s *shifts) roles() {
 	shared := false
-	if s.store.Take(state.Serves) {
-		s.store.Leave(state.Next)
-		shared = s.store.Other(state.Next)
+	if s.store.AcquireRole(state.RoleActive) {
+		s.store.ReleaseRole(state.RoleStandby)
+		shared = s.store.RoleHeldByOther(state.RoleStandby)
 	} else {
-		s.store.Take(state.Next)
+		s.store.AcquireRole(state.RoleStandby)
 		shared = true
 	}
 	if shared != s.shared {
@@ -179,7 +179,7 @@
 func (s *shifts) give() {
 	m, err := s.engine.Handover(callTime)
 	if err == nil {
-		err = s.store.Give(state.Hand{At: time.Now(), Settings: s.print, Memory: m})
+		err = s.store.WriteHandover(state.Handover{At: time.Now(), Settings: s.print, Memory: m})
 	}
 	if err != nil {
 		s.log.Warn().Err(err).Msg("nothing handed over")
@@ -193,12 +193,12 @@
 	}
 	s.file.Lock()
 	defer s.file.Unlock()
-	s.store.Clear()
-	if s.store.Take(state.Serves) {
+	s.store.RemoveHandover()
+	if s.store.AcquireRole(state.RoleActive) {
 		return nil
 	}
-	s.store.Take(state.Next)
-	h, err := s.store.Given(handTime)
+	s.store.AcquireRole(state.RoleStandby)
+	h, err := s.store.AwaitHandover(handTime)
 	if err != nil {
 		s.log.Warn().Err(err).Msg("nothing was handed over")
 		return nil
@@ -213,13 +213,13 @@
 // say does what an operator asks for and writes it down, and waits until another process has followed. What can't be written
 // down is undone: a no changes nothing. Danger: a look between the two would take the file, which does not know of it yet,
 // for the newer word, and let a cache in that an operator is just being told is out.
-func (s *shifts) say(do, undo func() error, write func(*state.Word)) error {
+func (s *shifts) say(do, undo func() error, write func(*state.Overrides)) error {
 	s.file.Lock()
 	if err := do(); err != nil {
 		s.file.Unlock()
 		return err
 	}
-	err := s.store.Change(write)
+	err := s.store.Update(write)
 	if err != nil {
 		undo()
 	}
@@ -235,7 +235,7 @@
 func (s *shifts) out(id string, out bool) error {
 	put := func(out bool) func() error {
 		return func() error {
-			switch err := s.engine.Out(id, out, callTime); {
+			switch err := s.engine.SetCacheOut(id, out, callTime); {
 			case errors.Is(err, engine.ErrUnknown):
 				return control.ErrUnknownID
 			case errors.Is(err, engine.ErrBusy):
@@ -245,25 +245,25 @@
 			}
 		}
 	}
-	return s.say(put(out), put(!out), func(w *state.Word) {
-		was := len(w.Out)
-		if w.Out = slices.DeleteFunc(w.Out, func(o string) bool { return o == id }); out {
-			w.Out = append(w.Out, id)
-		} else if len(w.Out) < was {
-			if w.Back == nil {
-				w.Back = map[string]time.Time{}
+	return s.say(put(out), put(!out), func(w *state.Overrides) {
+		was := len(w.CachesOut)
+		if w.CachesOut = slices.DeleteFunc(w.CachesOut, func(o string) bool { return o == id }); out {
+			w.CachesOut = append(w.CachesOut, id)
+		} else if len(w.CachesOut) < was {
+			if w.ReturnedAt == nil {
+				w.ReturnedAt = map[string]time.Time{}
 			}
-			w.Back[id] = time.Now()
+			w.ReturnedAt[id] = time.Now()
 		}
 	})
 }
 
 // sites are the words on sites as the engine takes them; the figure of sites out follows.
-func (s *shifts) sites(w state.Word) map[int]engine.SiteWord {
-	all, out := map[int]engine.SiteWord{}, 0
+func (s *shifts) sites(w state.Overrides) map[int]engine.SiteOverride {
+	all, out := map[int]engine.SiteOverride{}, 0
 	for name, word := range w.Sites {
 		if zone := slices.Index(s.zones, name); zone >= 0 {
-			all[zone] = engine.SiteWord(word)
+			all[zone] = engine.SiteOverride(word)
 		}
 		if word.Out {
 			out++
@@ -279,8 +279,8 @@
 	if zone < 0 {
 		return control.ErrUnknownID
 	}
-	var before state.Word
-	word := state.Site{Out: out, At: time.Now(), Over: over}
+	var before state.Overrides
+	word := state.SiteOverride{Out: out, At: time.Now(), Over: over}
 	s.mu.Lock()
 	wasAway := !s.life.Yes()
 	s.mu.Unlock()
@@ -289,11 +289,11 @@
 		if was, told := before.Sites[name]; told && was.Out == out {
 			word = was // said twice it changes nothing: a second call must not begin anew
 		}
-		err := s.engine.Site(zone, engine.SiteWord(word), callTime)
+		err := s.engine.SetSite(zone, engine.SiteOverride(word), callTime)
 		switch {
 		case errors.Is(err, engine.ErrUnknown):
 			return control.ErrUnknownID
-		case errors.Is(err, engine.ErrLast):
+		case errors.Is(err, engine.ErrLastCaches):
 			return control.ErrLastCache
 		case errors.Is(err, engine.ErrBusy):
 			return control.ErrTimeout
@@ -305,13 +305,13 @@
 		if zone == s.zone {
 			s.turnAway(wasAway)
 		}
-		return s.engine.SetSites(s.sites(before), callTime)
-	}, func(w *state.Word) {
+		return s.engine.SetAllSites(s.sites(before), callTime)
+	}, func(w *state.Overrides) {
 		if w.Sites == nil {
-			w.Sites = map[string]state.Site{}
+			w.Sites = map[string]state.SiteOverride{}
 		}
 		if w.Sites[name] = word; zone == s.zone {
-			w.Away = out
+			w.DrainClients = out
 		}
 		s.sites(*w)
 	})
@@ -322,7 +322,7 @@
 	was := !s.life.Yes()
 	s.mu.Unlock()
 	return s.say(func() error { return s.turnAway(away) }, func() error { return s.turnAway(was) },
-		func(w *state.Word) { w.Away = away })
+		func(w *state.Overrides) { w.DrainClients = away })
 }
 
 func (s *shifts) turnAway(away bool) error {
@@ -374,7 +374,7 @@
 	}
 	s.file.Lock()
 	defer s.file.Unlock()
-	return s.store.Other(state.Next)
+	return s.store.RoleHeldByOther(state.RoleStandby)
 }
 
 // end ends listening after a while, and each connection once it is answered. What is open when the time is over is handed
@@ -410,7 +410,7 @@
 			}()
 		}
 		if due == lifecycle.HandBack {
-			if err := s.engine.HandBack(giveBack); err != nil {
+			if err := s.engine.AnswerAllOpen(giveBack); err != nil {
 				s.log.Error().Err(err).Msg("what is open was not handed back")
 			}
 		}
--- a/internal/deadline/deadline.go
+++ b/internal/deadline/deadline.go
@@ -23,15 +23,15 @@
 	return d
 }
 
-// Left is how long the client still waits.
-func (d Deadline) Left(now time.Time) time.Duration { return d.at.Sub(now) }
+// Remaining is how long the client still waits.
+func (d Deadline) Remaining(now time.Time) time.Duration { return d.at.Sub(now) }
 
 // Transfer is how a request travels to its server.
 type Transfer uint8
 
 const (
-	Held  Transfer = iota // in one write
-	Parts                 // a long value, in many writes
+	SingleWrite  Transfer = iota // in one write
+	MultipleWrites                 // a long value, in many writes
 )
 
 // A server begins a request when its last byte has come, and that is later than the clock was read: by what a busy system, or a slow
@@ -49,41 +49,41 @@
 // ErrNoTime means that so little is left that no deadline can be passed: the attempt must not be written.
 var ErrNoTime = errors.New("no time is left for an attempt")
 
-// Passed is the deadline that one attempt passes to its server.
-type Passed struct {
+// AttemptDeadline is the deadline that one attempt passes to its server.
+type AttemptDeadline struct {
 	milliseconds int64 // what the server is told to have
 	writeBy      time.Time
 }
 
-// Pass computes what an attempt passes that is written now, and whose answer the proxy waits for until a moment of its own.
-func (d Deadline) Pass(now, until time.Time, how Transfer) (Passed, error) {
-	left := d.Left(now)
+// ForAttempt computes what an attempt passes that is written now, and whose answer the proxy waits for until a moment of its own.
+func (d Deadline) ForAttempt(now, until time.Time, how Transfer) (AttemptDeadline, error) {
+	left := d.Remaining(now)
 	margin := left / heldMargin
-	if how == Parts {
+	if how == MultipleWrites {
 		margin = left / partsMargin
 	}
 	wait := min(left-margin, until.Sub(now))
 	if wait < least {
-		return Passed{}, ErrNoTime
+		return AttemptDeadline{}, ErrNoTime
 	}
 	wait = wait.Truncate(time.Millisecond)
-	return Passed{wait.Milliseconds(), d.at.Add(-wait)}, nil
+	return AttemptDeadline{wait.Milliseconds(), d.at.Add(-wait)}, nil
 }
 
 // WriteBy is when the attempt's last byte must have been written: later, the server would be told more than is left.
-func (p Passed) WriteBy() time.Time { return p.writeBy }
+func (p AttemptDeadline) WriteBy() time.Time { return p.writeBy }
 
 // Properties are a request's names and values as its client sent them, but for the client's own deadline.
 type Properties struct{ before, after string }
 
-// Cut takes the client's deadline, which stands from one place to another, out of a list.
-func Cut(list string, from, to int) Properties { return Properties{list[:from], list[to:]} }
+// RemoveDeadline takes the client's deadline, which stands from one place to another, out of a list.
+func RemoveDeadline(list string, from, to int) Properties { return Properties{list[:from], list[to:]} }
 
 // Size is the length of what is kept.
 func (p Properties) Size() int { return len(p.before) + len(p.after) }
 
 // Append adds the list with what an attempt passes in the place of the client's deadline; all else is as it came.
-func (p Properties) Append(b []byte, passed Passed) []byte {
+func (p Properties) Append(b []byte, passed AttemptDeadline) []byte {
 	b = append(b, p.before...)
 	b = strconv.AppendInt(b, passed.milliseconds, 10)
 	return append(b, p.after...)
--- a/internal/deadline/deadline_test.go
+++ b/internal/deadline/deadline_test.go
@@ -15,24 +15,24 @@
 		how                 Transfer
 		milliseconds        int64 // 0: no attempt
 	}{
-		"at once":                    {480 * time.Millisecond, 0, never, Held, 450},
-		"later":                      {480 * time.Millisecond, 160 * time.Millisecond, never, Held, 300},
-		"in parts":                   {480 * time.Millisecond, 160 * time.Millisecond, never, Parts, 240},
-		"the proxy waits for less":   {480 * time.Millisecond, 160 * time.Millisecond, 100 * time.Millisecond, Held, 100},
-		"rounded down":               {100 * time.Millisecond, 0, never, Held, 93},
-		"just enough":                {1067 * time.Microsecond, 0, never, Held, 1},
-		"under a millisecond":        {1066 * time.Microsecond, 0, never, Held, 0},
-		"nothing left":               {time.Second, time.Second, never, Held, 0},
-		"past":                       {time.Second, 2 * time.Second, never, Held, 0},
-		"the proxy waits no longer":  {time.Second, 0, 0, Held, 0},
-		"the proxy's wait is past":   {time.Second, 0, -time.Second, Held, 0},
-		"as long as a client may":    {time.Hour, 0, never, Held, 3_375_000},
-		"a fraction of a tick short": {time.Second, 999 * time.Millisecond, never, Parts, 0},
+		"at once":                    {480 * time.Millisecond, 0, never, SingleWrite, 450},
+		"later":                      {480 * time.Millisecond, 160 * time.Millisecond, never, SingleWrite, 300},
+		"in parts":                   {480 * time.Millisecond, 160 * time.Millisecond, never, MultipleWrites, 240},
+		"the proxy waits for less":   {480 * time.Millisecond, 160 * time.Millisecond, 100 * time.Millisecond, SingleWrite, 100},
+		"rounded down":               {100 * time.Millisecond, 0, never, SingleWrite, 93},
+		"just enough":                {1067 * time.Microsecond, 0, never, SingleWrite, 1},
+		"under a millisecond":        {1066 * time.Microsecond, 0, never, SingleWrite, 0},
+		"nothing left":               {time.Second, time.Second, never, SingleWrite, 0},
+		"past":                       {time.Second, 2 * time.Second, never, SingleWrite, 0},
+		"the proxy waits no longer":  {time.Second, 0, 0, SingleWrite, 0},
+		"the proxy's wait is past":   {time.Second, 0, -time.Second, SingleWrite, 0},
+		"as long as a client may":    {time.Hour, 0, never, SingleWrite, 3_375_000},
+		"a fraction of a tick short": {time.Second, 999 * time.Millisecond, never, MultipleWrites, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			received := time.Now()
 			now := received.Add(c.waited)
-			passed, err := After(received, c.wait).Pass(now, now.Add(c.until), c.how)
+			passed, err := After(received, c.wait).ForAttempt(now, now.Add(c.until), c.how)
 			if c.milliseconds == 0 && !errors.Is(err, ErrNoTime) || c.milliseconds > 0 && err != nil || passed.milliseconds != c.milliseconds {
 				t.Errorf("%d ms, %v; %d ms wanted", passed.milliseconds, err, c.milliseconds)
 			}
@@ -49,11 +49,11 @@
 			return time.Duration(rapid.Int64Range(0, int64(most)).Draw(t, name))
 		}
 		wait, waited, until := span("wait", time.Hour), span("waited", time.Minute), span("until", time.Minute)
-		how := rapid.SampledFrom([]Transfer{Held, Parts}).Draw(t, "how")
+		how := rapid.SampledFrom([]Transfer{SingleWrite, MultipleWrites}).Draw(t, "how")
 		d, now := After(start, wait), start.Add(waited)
-		passed, err := d.Pass(now, now.Add(until), how)
-		left := d.Left(now)
-		share := map[Transfer]time.Duration{Held: heldMargin, Parts: partsMargin}[how]
+		passed, err := d.ForAttempt(now, now.Add(until), how)
+		left := d.Remaining(now)
+		share := map[Transfer]time.Duration{SingleWrite: heldMargin, MultipleWrites: partsMargin}[how]
 		most := min(left-left/share, until)
 		if err != nil {
 			if most >= least {
@@ -65,8 +65,8 @@
 		if told < least || told > most || told <= most-time.Millisecond {
 			t.Fatalf("%v is passed, %v could be", told, most)
 		}
-		if by := passed.WriteBy(); told > d.Left(by) || by.Before(now) {
-			t.Fatalf("%v is passed up to %v from now, %v are left then", told, by.Sub(now), d.Left(by))
+		if by := passed.WriteBy(); told > d.Remaining(by) || by.Before(now) {
+			t.Fatalf("%v is passed up to %v from now, %v are left then", told, by.Sub(now), d.Remaining(by))
 		}
 	})
 }
@@ -75,19 +75,19 @@
 func TestAtMostOnlyLowers(t *testing.T) {
 	now := time.Now()
 	d := After(now, time.Second)
-	if left := d.AtMost(now.Add(2 * time.Second)).Left(now); left != time.Second {
+	if left := d.AtMost(now.Add(2 * time.Second)).Remaining(now); left != time.Second {
 		t.Errorf("%v left", left)
 	}
-	if left := d.AtMost(now.Add(time.Millisecond)).Left(now); left != time.Millisecond {
+	if left := d.AtMost(now.Add(time.Millisecond)).Remaining(now); left != time.Millisecond {
 		t.Errorf("%v left", left)
 	}
 }
 
 func TestPropertiesKeepAllButTheDeadline(t *testing.T) {
 	const list = "c=read,d=480.5,t=acme,x=d"
-	p := Cut(list, 9, 14)
+	p := RemoveDeadline(list, 9, 14)
 	now := time.Now()
-	passed, err := After(now, time.Second).Pass(now, now.Add(7*time.Millisecond), Held)
+	passed, err := After(now, time.Second).ForAttempt(now, now.Add(7*time.Millisecond), SingleWrite)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/engine/behind.go
+++ b/internal/engine/behind.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	lookAfter = pulse.Every          // an event, or a row of them, that takes longer is looked into
+	lookAfter = pulse.BeatInterval   // an event, or a row of them, that takes longer is looked into
 	lookEvery = 5 * time.Millisecond // from then on, while it lasts
 )
 
@@ -56,7 +56,7 @@
 		b.seen = false
 		return
 	}
-	b.engine.Pulse.Beat(now) // the process runs, it is only the engine that does not come to its beat
+	b.engine.StallMonitor.Beat(now) // the process runs, it is only the engine that does not come to its beat
 	lag := b.engine.lag(now)
 	if b.seen {
 		b.answer(func(o *Op) overload.Action { return overload.For(o.standing(now), overload.Time(lag)) })
@@ -71,12 +71,12 @@
 	return b.answer(func(o *Op) overload.Action { return overload.AtEnd(o.standing(now)) })
 }
 
-// Left is how long its client still waits, by the client's own word; any goroutine may ask once it is submitted.
-func (o *Op) Left(now time.Time) time.Duration { return o.wait - now.Sub(o.At) }
+// Remaining is how long its client still waits, by the client's own word; any goroutine may ask once it is submitted.
+func (o *Op) Remaining(now time.Time) time.Duration { return o.wait - now.Sub(o.ReceivedAt) }
 
 // standing is how an op stands, for the decision what is done for it.
 func (o *Op) standing(now time.Time) overload.Request {
-	return overload.Request{Waited: overload.Time(now.Sub(o.At)), Left: overload.Time(o.Left(now)),
+	return overload.Request{Waited: overload.Time(now.Sub(o.ReceivedAt)), Left: overload.Time(o.Remaining(now)),
 		Begun: progress(o.progress.Load()) == opBegun, Answered: o.came.Load() != nil}
 }
 
@@ -104,7 +104,7 @@
 			return false
 		}
 	}
-	o.Request.Leave() // no byte of an attempt is written from here on
+	o.Request.Abandon() // no byte of an attempt is written from here on
 	b.engine.answered(o, true)
 	value := o.came.Load()
 	switch {
@@ -122,8 +122,8 @@
 	return true
 }
 
-// Behind is what was answered, or not taken, while the engine was behind, for the log.
-func (e *Engine) Behind() zerolog.LogObjectMarshaler { return e.behind }
+// LagCounters is what was answered, or not taken, while the engine was behind, for the log.
+func (e *Engine) LagCounters() zerolog.LogObjectMarshaler { return e.behind }
 
 // stop ends it: nothing is answered any more.
 func (b *behind) stop() {
@@ -160,7 +160,7 @@
 	e.unanswered.remove(o)
 	o.mark(&o.Trace.Answered, time.Now())
 	if behind {
-		o.Trace.Behind.Store(true)
+		o.Trace.AnsweredDuringLag.Store(true)
 	}
 }
 
--- a/internal/engine/counters.go
+++ b/internal/engine/counters.go
@@ -41,10 +41,10 @@
 	for i, n := range c.Pushes {
 		l.Int("push_"+outcomeNames[i], n)
 	}
-	l.Int("censored", c.Judged.Censored).Int("over_budget", c.Judged.OverBudget).
-		Int("hopeless", c.Judged.Hopeless).Int("cut_short", c.Judged.CutShort)
-	for why, n := range c.Judged.GaveUp {
-		l.Int("gave_up_"+policy.Why(why).String(), n)
+	l.Int("censored", c.Judged.InconclusiveTimeouts).Int("over_budget", c.Judged.RetriesOverBudget).
+		Int("hopeless", c.Judged.DeadlineTooShort).Int("cut_short", c.Judged.ShortenedPushes)
+	for why, n := range c.Judged.GivenUp {
+		l.Int("gave_up_"+policy.GiveUpReason(why).String(), n)
 	}
 	l.Int("lists", c.Lists).Int("reports", c.Reports).Int("reports_bad", c.ReportsBad).
 		Int("probes", c.Probes).Int("probes_untold", c.ProbesUntold).Int("queue_longest", c.Longest).
--- a/internal/engine/deadline_test.go
+++ b/internal/engine/deadline_test.go
@@ -12,9 +12,9 @@
 // passing is a server that hands each attempt's request to the test.
 type passing struct{ requests chan *Request }
 
-func (p passing) Push(r *Request, _ time.Time, _ func(Result)) func(When) bool {
+func (p passing) Push(r *Request, _ time.Time, _ func(Result)) func(AbortCondition) bool {
 	p.requests <- r
-	return func(When) bool { return true }
+	return func(AbortCondition) bool { return true }
 }
 func (passing) Release() {}
 func (passing) Retire()  {}
@@ -29,12 +29,12 @@
 	})
 	for id, c := range map[string]struct{ wait, want time.Duration }{"longer": {time.Minute, ttl}, "shorter": {time.Second, time.Second}} {
 		o := s.op(id, 0)
-		o.Request.Deadline = deadline.After(o.At, c.wait)
+		o.Request.Deadline = deadline.After(o.ReceivedAt, c.wait)
 		if err := e.Submit(o); err != nil {
 			t.Fatal(err)
 		}
 		r := <-servers.requests
-		if left := r.Deadline.Left(o.At); r.ID != id || left != c.want {
+		if left := r.Deadline.Remaining(o.ReceivedAt); r.ID != id || left != c.want {
 			t.Errorf("%s has %v, %v wanted", r.ID, left, c.want)
 		}
 	}
@@ -44,11 +44,11 @@
 func TestAnEngineThatRestsBeats(t *testing.T) {
 	const rest = 500 * time.Millisecond
 	beat := pulse.New(time.Now())
-	play(t, func(o *Options) { o.Pulse, o.Settings.Tick = beat, policy.Time(time.Hour/unit) })
+	play(t, func(o *Options) { o.StallMonitor, o.Settings.Tick = beat, policy.Time(time.Hour/unit) })
 	time.Sleep(rest) // and what may have stalled ahead of the first beat is over
 	beats := 0
 	for begun := time.Now(); time.Since(begun) < rest; time.Sleep(time.Millisecond) {
-		if now := time.Now(); beat.Since(now).Equal(now) {
+		if now := time.Now(); beat.EarliestArrival(now).Equal(now) {
 			beats++
 		}
 	}
--- a/internal/engine/endings_test.go
+++ b/internal/engine/endings_test.go
@@ -29,8 +29,8 @@
 
 // opEnds are the ways in which an op ends while a push for it is out.
 var opEnds = map[string]func(e *Engine, o *Op){
-	"its client has left":  func(e *Engine, o *Op) { e.Leave(o) },
-	"the process ends":     func(e *Engine, o *Op) { e.HandBack(patience) },
+	"its client has left":  func(e *Engine, o *Op) { e.Abandon(o) },
+	"the process ends":     func(e *Engine, o *Op) { e.AnswerAllOpen(patience) },
 	"its time is long up":  func(e *Engine, o *Op) { e.Do(func(e *Engine) { e.expire(o.held) }) },
 	"it was answered late": func(e *Engine, o *Op) { e.Do(func(e *Engine) { e.Nack(o.held.id, 0) }) },
 }
@@ -49,7 +49,7 @@
 					s.await(0, "push cache")
 					end(e, o)
 					s.await(0, "taken back cache")
-					if c := settled(e); c.Withdrawn != 1 || c.Pushes[policy.Moot] != 1 || e.ops.Load() != 0 || s.lines("push") != 1 {
+					if c := settled(e); c.Withdrawn != 1 || c.Pushes[policy.NotSent] != 1 || e.ops.Load() != 0 || s.lines("push") != 1 {
 						t.Errorf("%+v", c)
 					}
 				})
@@ -85,7 +85,7 @@
 	o := s.op("a", 2)
 	e.Submit(o)
 	at := s.await(0, "push cache")
-	e.Leave(o)
+	e.Abandon(o)
 	if c := settled(e); c.Withdrawn != 0 || s.lines("given up") != 0 || e.ops.Load() != 1 {
 		t.Errorf("%+v", c)
 	}
@@ -99,8 +99,8 @@
 // may end between an op's place and its handing in, so that the leaving comes first.
 func TestClientThatLeavesWhileTheEngineIsBehind(t *testing.T) {
 	for name, play := range map[string]func(e *Engine, o *Op){
-		"behind its op":   func(e *Engine, o *Op) { e.Submit(o); e.Leave(o) },
-		"ahead of its op": func(e *Engine, o *Op) { e.Leave(o); e.Submit(o) },
+		"behind its op":   func(e *Engine, o *Op) { e.Submit(o); e.Abandon(o) },
+		"ahead of its op": func(e *Engine, o *Op) { e.Abandon(o); e.Submit(o) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			const many = 300
@@ -108,7 +108,7 @@
 			over := 0
 			for i := range many {
 				o := s.op(fmt.Sprint("op", i), i%3)
-				o.Over = func() { over++ }
+				o.OnRelease = func() { over++ }
 				play(e, o)
 			}
 			stop, ended := make(chan struct{}), make(chan struct{})
@@ -132,8 +132,8 @@
 	held, seen := make(chan bool), make(chan bool)
 	e.Do(func(*Engine) { close(seen); <-held })
 	<-seen
-	s.answer(at, Result{Outcome: policy.Full}) // another cache would be asked
-	e.Leave(o)
+	s.answer(at, Result{Outcome: policy.Rejected}) // another cache would be asked
+	e.Abandon(o)
 	close(held)
 	if c := settled(e); c.Left+c.Nacked != 1 || c.Sent != 1 || s.lines("push") != 1 || e.ops.Load() != 0 {
 		t.Errorf("%+v", c)
@@ -181,11 +181,11 @@
 				s.mu.Lock()
 				s.unwritten = true
 				s.mu.Unlock()
-				e.List(list.kind, list.members(first, other))
+				e.UpdateList(list.kind, list.members(first, other))
 				back := s.await(pushed, "taken back "+strings.TrimPrefix(s.line(pushed), "push "))
 				again := s.await(back, "push ")
 				for probing && !strings.Contains(s.line(again), " a ") { // another probe
-					s.answer(again, Result{Outcome: policy.Acked, Rate: 30})
+					s.answer(again, Result{Outcome: policy.Acked, OpsPerSecond: 30})
 					again = s.await(again+1, "push ")
 				}
 				if !list.again && s.cache(again) == s.cache(pushed) {
@@ -229,7 +229,7 @@
 	e, s := play(t, nil)
 	e.Submit(s.op("a", 2))
 	at := s.await(0, "push cache")
-	e.List(policy.ListDelta, []Member{member(1, policy.Draining), member(2, policy.Draining)})
+	e.UpdateList(policy.ListDelta, []Member{member(1, policy.Draining), member(2, policy.Draining)})
 	settled(e)
 	s.answer(at, Result{Outcome: policy.Acked, Value: []byte("v")})
 	s.await(at, "acked a v")
@@ -247,7 +247,7 @@
 		taken  bool
 	}{
 		"deduplicated, and may have run":  {policy.Deduplicated, Result{Outcome: policy.Errored}, true},
-		"deduplicated, and has never run": {policy.Deduplicated, Result{Outcome: policy.Full}, false},
+		"deduplicated, and has never run": {policy.Deduplicated, Result{Outcome: policy.Rejected}, false},
 		"redeliverable":                   {policy.Redeliverable, Result{Outcome: policy.Errored}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -25,21 +25,21 @@
 
 // Options is what an engine is made of.
 type Options struct {
-	Module   func(s policy.Settings, seed uint64, h policy.Host) Module // makes what decides
-	Settings policy.Settings
-	Seed     uint64
-	Connect  func(m Member) Server
-	Logger   zerolog.Logger
-	MaxOps   int          // held at once, at first
-	MaxBytes int64        // of requests held at once
-	Pulse    *pulse.Pulse // the engine's goroutine feeds it; nil: nobody asks
+	Module       func(s policy.Settings, seed uint64, h policy.Host) Module // makes what decides
+	Settings     policy.Settings
+	Seed         uint64
+	Connect      func(m Member) Server
+	Logger       zerolog.Logger
+	MaxOps       int            // held at once, at first
+	MaxBytes     int64          // of requests held at once
+	StallMonitor *pulse.Monitor // the engine's goroutine feeds it; nil: nobody asks
 
 	// What another process hands over, by the caches' names.
-	Out    []string             // out by an operator's word
-	Back   map[string]time.Time // were so until then, and have been cold since
-	Memory *warm.Memory         // what was learned; nil: nothing
+	CachesOut  []string             // out by an operator's word
+	ReturnedAt map[string]time.Time // were so until then, and have been cold since
+	Memory     *warm.Memory         // what was learned; nil: nothing
 
-	Sites map[int]SiteWord // what operators said of whole zones
+	Sites map[int]SiteOverride // what operators said of whole zones
 }
 
 // Engine is the module's host. All fields below the queue belong to its goroutine.
@@ -107,14 +107,14 @@
 	n      int
 	to     uint32
 	at     policy.Time
-	giveUp func(When) bool
+	giveUp func(AbortCondition) bool
 }
 
 // New makes an engine; Run starts it.
 func New(o Options) *Engine {
 	e := &Engine{Options: o, held: map[uint32]*op{}, servers: map[uint32]*server{}, out: map[string]bool{}, back: map[string]policy.Time{},
 		left: map[string]policy.Time{}, origin: time.Now()}
-	for _, name := range o.Out {
+	for _, name := range o.CachesOut {
 		e.out[name] = true
 	}
 	e.behind = newBehind(e)
@@ -126,7 +126,7 @@
 	// monotonically, whatever is done to the machine's clock.
 	e.offset = policy.Time(e.origin.UnixNano() / int64(unit))
 	e.now = e.offset
-	for name, at := range o.Back {
+	for name, at := range o.ReturnedAt {
 		e.back[name] = e.offset + policy.Time(at.Sub(e.origin)/unit)
 	}
 	return e
@@ -201,8 +201,8 @@
 
 // nextTimer is how long the engine may wait for events: up to its next timer, and its next beat.
 func (e *Engine) nextTimer() (wait time.Duration, bounded bool) {
-	if e.Pulse != nil {
-		wait, bounded = pulse.Every, true
+	if e.StallMonitor != nil {
+		wait, bounded = pulse.BeatInterval, true
 	}
 	if len(e.timers.heap) > 0 {
 		due := max(time.Until(e.wall(e.timers.heap[0].at)), 0)
@@ -221,7 +221,7 @@
 
 func (e *Engine) read() policy.Time {
 	now := time.Now()
-	e.Pulse.Beat(now)
+	e.StallMonitor.Beat(now)
 	e.now = e.offset + policy.Time(now.Sub(e.origin)/unit)
 	return e.now
 }
@@ -270,18 +270,18 @@
 		e.bytes.Add(-size)
 		return ErrFull
 	}
-	if now := time.Now(); overload.TurnAway(overload.Time(e.lag(now)), overload.Time(o.Request.Deadline.Left(now))) {
+	if now := time.Now(); overload.TurnAway(overload.Time(e.lag(now)), overload.Time(o.Request.Deadline.Remaining(now))) {
 		e.ops.Add(-1)
 		e.bytes.Add(-size)
 		e.behind.TurnedAway.Add(1)
-		return ErrLate
+		return ErrOverloaded
 	}
-	if !e.ids.add(o.Request.ID, o.At) {
+	if !e.ids.add(o.Request.ID, o.ReceivedAt) {
 		e.ops.Add(-1)
 		e.bytes.Add(-size)
-		return ErrTwice
+		return ErrDuplicateID
 	}
-	o.wait = o.Request.Deadline.Left(o.At)
+	o.wait = o.Request.Deadline.Remaining(o.ReceivedAt)
 	o.mark(&o.Trace.Submitted, time.Now())
 	e.unanswered.add(o)
 	e.queue.put(requestEvent, func() { e.arrived(o, size) })
@@ -289,8 +289,8 @@
 }
 
 // Leave tells that an op's client has gone away. It may come ahead of the op's own Submit.
-func (e *Engine) Leave(o *Op) {
-	o.Request.Leave()
+func (e *Engine) Abandon(o *Op) {
+	o.Request.Abandon()
 	e.queue.put(leaveEvent, func() {
 		e.unanswered.remove(o)
 		if h := o.held; h != nil && !h.over {
@@ -304,14 +304,14 @@
 
 func (e *Engine) arrived(o *Op, size int64) {
 	o.mark(&o.Trace.Arrived, time.Now())
-	if o.Request.Left() { // before the engine came to it: there is nobody to answer, or it has its answer; nothing has begun
+	if o.Request.Abandoned() { // before the engine came to it: there is nobody to answer, or it has its answer; nothing has begun
 		e.Counters.Taken++
 		if progress(o.progress.Load()) != opAnswered {
 			e.Counters.Left++
 		}
 		e.unanswered.remove(o)
-		if o.Over != nil {
-			o.Over()
+		if o.OnRelease != nil {
+			o.OnRelease()
 		}
 		e.ops.Add(-1)
 		e.bytes.Add(-size)
@@ -319,9 +319,9 @@
 	}
 	c := e.Settings.Categories[o.Category]
 	if c.TTL > 0 { // No client waits longer than that, whatever it says; else a slip there would hold memory.
-		o.Request.Deadline = o.Request.Deadline.AtMost(o.At.Add(time.Duration(c.TTL) * unit))
+		o.Request.Deadline = o.Request.Deadline.AtMost(o.ReceivedAt.Add(time.Duration(c.TTL) * unit))
 	}
-	ttl := e.offset + policy.Time(o.Request.Deadline.Left(e.origin)/unit)
+	ttl := e.offset + policy.Time(o.Request.Deadline.Remaining(e.origin)/unit)
 	h := &op{Op: o, ttl: ttl, size: size, most: e.Settings.MostPushes}
 	if h.effect = c.Effect; h.effect == policy.Deduplicated {
 		h.window = c.Window
@@ -336,7 +336,7 @@
 	e.held[h.id], o.held = h, h
 	e.Counters.Taken++
 	e.timers.set(h.ttl+overdue, func() { e.expire(h) })
-	e.module.OpArrived(h.id, o.Key, o.Category, o.Tenant, o.Request.Write, o.Again, max(h.ttl-e.now, 0))
+	e.module.OpArrived(h.id, o.Key, o.Category, o.Tenant, o.Request.Write, o.IsRetry, max(h.ttl-e.now, 0))
 	if e.ending.Load() { // it was handed in just before
 		e.module.HandBack(h.id)
 	}
@@ -374,9 +374,9 @@
 func (e *Engine) end(h *op) {
 	h.over = true
 	for _, p := range h.out {
-		if p.giveUp(Unwritten) {
+		if p.giveUp(IfUnwritten) {
 			e.later = append(e.later, func() { e.withdrawn(h, p) })
-		} else if p.giveUp(Unsent) {
+		} else if p.giveUp(IfUnsent) {
 			e.later = append(e.later, func() { e.ended(h, p, Result{Outcome: policy.Cancelled}) })
 		}
 	}
@@ -386,7 +386,7 @@
 func (e *Engine) withdrawn(h *op, p *push) {
 	if slices.Contains(h.out, p) {
 		e.Counters.Withdrawn++
-		e.ended(h, p, Result{Outcome: policy.Moot})
+		e.ended(h, p, Result{Outcome: policy.NotSent})
 	}
 }
 
@@ -401,7 +401,7 @@
 			continue
 		}
 		for _, p := range slices.Clone(h.out) {
-			if caches[p.to] && p.giveUp(Unwritten) {
+			if caches[p.to] && p.giveUp(IfUnwritten) {
 				e.withdrawn(h, p)
 			}
 		}
@@ -412,8 +412,8 @@
 func (e *Engine) forget(h *op) {
 	if h.over && len(h.out) == 0 && e.held[h.id] == h {
 		delete(e.held, h.id)
-		if h.Over != nil {
-			h.Over()
+		if h.OnRelease != nil {
+			h.OnRelease()
 		}
 		h.Op = nil // timers keep h for a while, and must not keep a value; a server may still be reading the op
 		e.ops.Add(-1)
@@ -436,7 +436,7 @@
 		return // given up before: its outcome was told then
 	}
 	h.out = append(h.out[:at], h.out[at+1:]...)
-	if !r.Outcome.NeverRan() && (h.ran == 0 || p.at < h.ran) {
+	if !r.Outcome.NotExecuted() && (h.ran == 0 || p.at < h.ran) {
 		h.ran = p.at
 	}
 	e.Counters.Pushes[r.Outcome]++
@@ -447,7 +447,7 @@
 			r.Body.Close()
 		} else if !answers { // its client has its answer
 		} else if r.Body.Size > 0 {
-			h.Reply.Passed(r.Body) // whether it ends well is between cache and client: nothing is pushed anew
+			h.Reply.Streamed(r.Body) // whether it ends well is between cache and client: nothing is pushed anew
 		} else {
 			h.Reply.Acked(r.Value)
 		}
@@ -455,19 +455,19 @@
 	if r.Err != nil {
 		e.Logger.Debug().Err(r.Err).Str("op", h.Request.ID).Int("push", p.n).Msg("push failed")
 	}
-	if r.Garbled {
+	if r.ReportInvalid {
 		e.Counters.ReportsBad++
 	}
-	if r.Pace > 0 {
+	if r.ReportedLatency > 0 {
 		e.Counters.Reports++
-		e.module.Reported(p.to, r.Pace)
+		e.module.Reported(p.to, r.ReportedLatency)
 	}
 	e.module.PushEnded(h.id, p.n, r.Outcome, r.Missed, h.over, e.now-p.at)
 	e.forget(h)
 }
 
-// List tells what discovery has said. It may be called from any goroutine.
-func (e *Engine) List(kind policy.ListKind, members []Member) {
+// UpdateList tells what discovery has said. It may be called from any goroutine.
+func (e *Engine) UpdateList(kind policy.ListKind, members []Member) {
 	e.queue.put(listEvent, func() {
 		from := time.Now()
 		e.list(kind, members)
@@ -501,7 +501,7 @@
 			e.leave(s)
 		}
 		// The list need not tell that a cache which was out has been restarted.
-		m.Out, m.Start = e.out[m.Name] || e.handed(&m), max(m.Start, e.back[m.Name])
+		m.Excluded, m.Start = e.out[m.Name] || e.handed(&m), max(m.Start, e.back[m.Name])
 		entries = append(entries, m.Entry)
 		s := e.servers[m.ID]
 		if s != nil && (m.State == policy.Gone || s.member.Addr != m.Addr || s.start < m.Start) {
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -77,14 +77,14 @@
 	n    int
 }
 
-func (f *fakeServer) Push(r *Request, until time.Time, done func(Result)) func(When) bool {
+func (f *fakeServer) Push(r *Request, until time.Time, done func(Result)) func(AbortCondition) bool {
 	f.n++
 	name := fmt.Sprintf("%s %s #%d", f.addr, r.ID, f.n)
 	f.s.mu.Lock()
 	f.s.done["push "+name] = done
 	f.s.mu.Unlock()
 	f.s.say("push %s", name)
-	return func(when When) bool {
+	return func(when AbortCondition) bool {
 		if when == Always {
 			f.s.say("given up %s", name)
 			return true
@@ -93,7 +93,7 @@
 		defer f.s.mu.Unlock()
 		if f.s.unwritten {
 			f.s.log = append(f.s.log, "taken back "+name)
-		} else if when == Unsent && f.s.unsent {
+		} else if when == IfUnsent && f.s.unsent {
 			f.s.log = append(f.s.log, "thrown away "+name)
 		} else {
 			return false
@@ -111,7 +111,7 @@
 }
 
 func (r fakeReply) Acked(value []byte)            { r.s.say("acked %s %s", r.id, value) }
-func (r fakeReply) Passed(body Body)              { r.s.say("passed %s %d", r.id, body.Size) }
+func (r fakeReply) Streamed(body Body)            { r.s.say("passed %s %d", r.id, body.Size) }
 func (r fakeReply) Nacked(comeBack time.Duration) { r.s.say("nacked %s", r.id) }
 func (r fakeReply) DeadLettered()                 { r.s.say("dead-lettered %s", r.id) }
 
@@ -157,7 +157,7 @@
 
 func (s *stage) op(id string, category int) *Op {
 	now := time.Now()
-	return &Op{At: now, Key: 5, Category: category, Request: Request{Key: "5", ID: id, Deadline: deadline.After(now, time.Minute)},
+	return &Op{ReceivedAt: now, Key: 5, Category: category, Request: Request{Key: "5", ID: id, Deadline: deadline.After(now, time.Minute)},
 		Reply: fakeReply{s, id}}
 }
 
@@ -211,9 +211,9 @@
 	o := s.op("a", 0)
 	e.Submit(o)
 	at := s.await(0, "push cache")
-	e.Leave(o)
+	e.Abandon(o)
 	s.await(at, "given up cache")
-	e.Leave(o)
+	e.Abandon(o)
 	if c := settled(e); c.Left != 1 || c.Pushes[policy.Cancelled] != 1 || c.Acked+c.Nacked+c.DeadLettered != 0 || e.ops.Load() != 0 {
 		t.Errorf("%+v", c)
 	}
@@ -223,9 +223,9 @@
 	e, s := play(t, nil)
 	e.Submit(s.op("never ran", 2))
 	at := s.await(0, "push cache")
-	s.answer(at, Result{Outcome: policy.Full})
+	s.answer(at, Result{Outcome: policy.Rejected})
 	at = s.await(at+1, "push cache") // the other one: the first proved that it never ran
-	s.answer(at, Result{Outcome: policy.Broken})
+	s.answer(at, Result{Outcome: policy.ConnectionLost})
 	s.await(at, "dead-lettered never ran")
 	if c := settled(e); c.Sent != 2 || e.ops.Load() != 0 {
 		t.Errorf("%+v", c)
@@ -234,8 +234,8 @@
 
 func TestDrainingCacheGetsNothingNew(t *testing.T) {
 	e, s := play(t, nil)
-	e.List(policy.ListDelta, []Member{member(1, policy.Draining)})
-	e.List(policy.ListDelta, []Member{member(2, policy.Gone)})
+	e.UpdateList(policy.ListDelta, []Member{member(1, policy.Draining)})
+	e.UpdateList(policy.ListDelta, []Member{member(2, policy.Gone)})
 	for i := range 20 {
 		o := s.op(fmt.Sprint("op", i), 0)
 		o.Key = uint64(i + 1)
@@ -254,9 +254,9 @@
 	e, s := play(t, nil)
 	again := member(1, policy.Ready)
 	again.Start = 1
-	e.List(policy.ListDelta, []Member{again, member(2, policy.Gone)})
+	e.UpdateList(policy.ListDelta, []Member{again, member(2, policy.Gone)})
 	s.await(s.await(0, "retire cache1"), "retire cache2")
-	e.List(policy.ListDelta, []Member{again, member(2, policy.Ready)})
+	e.UpdateList(policy.ListDelta, []Member{again, member(2, policy.Ready)})
 	settled(e)
 	if len(s.log) != 2 {
 		t.Errorf("%q", s.log)
@@ -267,7 +267,7 @@
 	e, s := play(t, nil)
 	moved := []Member{member(1, policy.Ready), member(2, policy.Ready)}
 	moved[0].Addr, moved[1].Addr = "moved1", "moved2"
-	e.List(policy.ListDelta, moved)
+	e.UpdateList(policy.ListDelta, moved)
 	e.Submit(s.op("a", 0))
 	s.await(0, "retire cache1")
 	s.await(0, "retire cache2")
@@ -294,14 +294,14 @@
 // Danger: an id sent again is served with what belongs to another client, or pushed after its op's end.
 func TestIDIsTakenOnce(t *testing.T) {
 	e, s := play(t, nil)
-	if e.Submit(s.op("a", 0)) != nil || e.Submit(s.op("a", 0)) != ErrTwice {
+	if e.Submit(s.op("a", 0)) != nil || e.Submit(s.op("a", 0)) != ErrDuplicateID {
 		t.Error("an open op's id was taken again")
 	}
 	at := s.await(0, "push cache")
 	s.answer(at, Result{Outcome: policy.Acked, Value: []byte("v")})
 	s.await(at, "acked a v")
 	settled(e) // the answer goes out before the op is let go of
-	if e.Submit(s.op("a", 0)) != ErrTwice || e.ops.Load() != 0 {
+	if e.Submit(s.op("a", 0)) != ErrDuplicateID || e.ops.Load() != 0 {
 		t.Errorf("taken again after its end, or held: %d", e.ops.Load())
 	}
 	now := time.Now()
@@ -323,7 +323,7 @@
 // Danger: a whole list that no longer names a cache leaves its connections open for good.
 func TestMissingFromAWholeListIsGone(t *testing.T) {
 	e, s := play(t, nil)
-	e.List(policy.ListFull, []Member{member(1, policy.Ready), member(9, policy.Ready)})
+	e.UpdateList(policy.ListFull, []Member{member(1, policy.Ready), member(9, policy.Ready)})
 	s.await(0, "retire cache2")
 	e.Do(func(e *Engine) {
 		if len(e.servers) != 2 {
@@ -357,13 +357,13 @@
 		h := &op{Op: o, id: 1 << 30, ttl: e.now + 1000}
 		e.held[h.id] = h
 		e.Push(h.id, 77, 0)
-		if len(h.out) != 1 || e.Counters.Pushes[policy.Moot] != 0 {
+		if len(h.out) != 1 || e.Counters.Pushes[policy.NotSent] != 0 {
 			t.Error("a host call told its outcome by re-entering the module")
 		}
 		e.settle()
 		got <- e.Counters
 	})
-	if c := <-got; c.Pushes[policy.Moot] != 1 || c.Sent != 0 {
+	if c := <-got; c.Pushes[policy.NotSent] != 1 || c.Sent != 0 {
 		t.Errorf("%+v", c)
 	}
 }
@@ -393,9 +393,9 @@
 	if c := settled(e); c.Probes != 1 || c.Sent != 0 {
 		t.Fatalf("the op did not wait for the probe: %+v", c)
 	}
-	s.answer(at, Result{Outcome: policy.Acked, Waiting: 0, Rate: 30})
+	s.answer(at, Result{Outcome: policy.Acked, QueueLength: 0, OpsPerSecond: 30})
 	op := s.await(at+1, "push cache")
-	s.answer(at, Result{Outcome: policy.Acked, Waiting: 1e6, Rate: 1})
+	s.answer(at, Result{Outcome: policy.Acked, QueueLength: 1e6, OpsPerSecond: 1})
 	s.answer(op, Result{Outcome: policy.Acked, Value: []byte("v")})
 	s.await(op, "acked a v")
 	settled(e)
@@ -412,10 +412,10 @@
 // Danger: a push that waits for its connection is written after the operator was told that the cache is out.
 func TestOutTakesBackWhatIsNotWritten(t *testing.T) {
 	e, s := play(t, nil)
-	if err := e.Out("nobody", true, patience); err != ErrUnknown {
+	if err := e.SetCacheOut("nobody", true, patience); err != ErrUnknown {
 		t.Errorf("an id that nobody has: %v", err)
 	}
-	if err := e.Out("origin", true, patience); err != ErrUnknown {
+	if err := e.SetCacheOut("origin", true, patience); err != ErrUnknown {
 		t.Errorf("the origin is taken for a cache: %v", err)
 	}
 	e.Submit(s.op("a", 0))
@@ -424,7 +424,7 @@
 	s.mu.Lock()
 	s.unwritten = true
 	s.mu.Unlock()
-	if err := e.Out(first, true, patience); err != nil {
+	if err := e.SetCacheOut(first, true, patience); err != nil {
 		t.Fatal(err)
 	}
 	// All that is said by now came before the yes.
@@ -435,13 +435,13 @@
 	}
 	s.answer(again, Result{Outcome: policy.Acked, Value: []byte("v")})
 	s.await(again, "acked a v")
-	e.List(policy.ListFull, []Member{member(1, policy.Ready), member(2, policy.Ready), member(9, policy.Ready)})
+	e.UpdateList(policy.ListFull, []Member{member(1, policy.Ready), member(2, policy.Ready), member(9, policy.Ready)})
 	for i := range 20 { // whatever the list has said
 		e.Submit(s.op(fmt.Sprint("b", i), 0))
 		at = s.await(again, fmt.Sprintf("push %s b%d ", s.cache(again), i))
 		s.answer(at, Result{Outcome: policy.Acked, Value: []byte("v")})
 	}
-	if e.Out(first, true, patience) != nil || e.Out(first, false, patience) != nil {
+	if e.SetCacheOut(first, true, patience) != nil || e.SetCacheOut(first, false, patience) != nil {
 		t.Error("out twice and back once")
 	}
 }
@@ -453,8 +453,8 @@
 		m.Zone = zone
 		return m
 	}
-	e, s := play(t, func(o *Options) { o.Sites = map[int]SiteWord{1: {Out: true, At: time.Now()}} })
-	list := func(members ...Member) { e.List(policy.ListFull, append(members, in(9, 1))) }
+	e, s := play(t, func(o *Options) { o.Sites = map[int]SiteOverride{1: {Out: true, At: time.Now()}} })
+	list := func(members ...Member) { e.UpdateList(policy.ListFull, append(members, in(9, 1))) }
 	list(in(1, 0), in(2, 1))
 	ask := func(from int, id, want string) int {
 		e.Submit(s.op(id, 0))
@@ -466,20 +466,20 @@
 		return s.await(at, "acked "+id)
 	}
 	at := ask(0, "a", "cache1")
-	if err := e.Site(0, SiteWord{Out: true, At: time.Now()}, patience); err != ErrLast {
+	if err := e.SetSite(0, SiteOverride{Out: true, At: time.Now()}, patience); err != ErrLastCaches {
 		t.Errorf("the last site: %v", err)
 	}
-	if err := e.Site(0, SiteWord{At: time.Now()}, patience); err != ErrUnknown {
+	if err := e.SetSite(0, SiteOverride{At: time.Now()}, patience); err != ErrUnknown {
 		t.Errorf("a site that nobody took out: %v", err)
 	}
-	if err := e.Site(7, SiteWord{Out: true, At: time.Now()}, patience); err != ErrUnknown {
+	if err := e.SetSite(7, SiteOverride{Out: true, At: time.Now()}, patience); err != ErrUnknown {
 		t.Errorf("a site that is not there: %v", err)
 	}
 	list(in(1, 0), in(2, 1), in(3, 1))
 	for i := range 10 {
 		at = ask(at, fmt.Sprint("b", i), "cache1")
 	}
-	if e.Site(1, SiteWord{At: time.Now()}, patience) != nil || e.Site(0, SiteWord{Out: true, At: time.Now()}, patience) != nil {
+	if e.SetSite(1, SiteOverride{At: time.Now()}, patience) != nil || e.SetSite(0, SiteOverride{Out: true, At: time.Now()}, patience) != nil {
 		t.Error("not called back, or the other not out then")
 	}
 	e.Submit(s.op("c", 0))
@@ -510,7 +510,7 @@
 	}
 	next, _ := play(t, func(o *Options) { o.Memory = &given })
 	sum := func(e *Engine) (sent float64) {
-		e.Glance(func(policy.Counts, int, time.Duration) {})
+		e.ReadStats(func(policy.Counts, int, time.Duration) {})
 		done := make(chan struct{})
 		e.Do(func(e *Engine) {
 			for id := range e.servers {
@@ -536,10 +536,10 @@
 func TestWhoCameBackIsColdAfterTheUpgradeToo(t *testing.T) {
 	now := time.Now()
 	e, _ := play(t, func(o *Options) {
-		o.Out, o.Back = []string{"cache1"}, map[string]time.Time{"cache2": now}
+		o.CachesOut, o.ReturnedAt = []string{"cache1"}, map[string]time.Time{"cache2": now}
 	})
 	done := make(chan map[string]policy.Entry)
-	e.List(policy.ListFull, []Member{member(1, policy.Ready), member(2, policy.Ready), member(9, policy.Ready)})
+	e.UpdateList(policy.ListFull, []Member{member(1, policy.Ready), member(2, policy.Ready), member(9, policy.Ready)})
 	e.Do(func(e *Engine) {
 		all := map[string]policy.Entry{}
 		for _, s := range e.servers {
@@ -548,7 +548,7 @@
 		done <- all
 	})
 	all := <-done
-	if !all["cache1"].Out || all["cache2"].Out || all["cache1"].Start != 0 {
+	if !all["cache1"].Excluded || all["cache2"].Excluded || all["cache1"].Start != 0 {
 		t.Errorf("%+v", all)
 	}
 	if want := policy.Time(now.UnixNano() / 1e5); all["cache2"].Start < want-20 || all["cache2"].Start > want+20 {
@@ -565,7 +565,7 @@
 	settings.Categories[0].Dropped = true
 	settings.Categories = append(settings.Categories, policy.Category{Effect: policy.AtMostOnce, Target: 300000, TTL: 900000, Benefit: 1})
 	settings.MostPushes = 1
-	if err := e.Retune(settings, 100, patience); err != nil {
+	if err := e.ApplySettings(settings, 100, patience); err != nil {
 		t.Fatal(err)
 	}
 	s.answer(at, Result{Outcome: policy.Errored})
@@ -612,7 +612,7 @@
 	}
 	first := s.await(0, "push cache1 op0 ", "push cache2 op0 ")
 	s.answer(first, Result{Outcome: policy.Acked, Value: []byte("v")}) // it has come, and is heard first
-	if err := e.HandBack(patience); err != nil {
+	if err := e.AnswerAllOpen(patience); err != nil {
 		t.Fatal(err)
 	}
 	for _, line := range []string{"acked op0 v", "dead-lettered op1", "nacked op2", "dead-lettered op3", "nacked op4"} {
@@ -623,7 +623,7 @@
 	if err := e.Submit(s.op("op9", 0)); err != ErrFull {
 		t.Errorf("taken after the end: %v", err)
 	}
-	if c := settled(e); c.HandedBack != 4 || c.Late != 0 || e.HandBack(patience) != nil {
+	if c := settled(e); c.HandedBack != 4 || c.Late != 0 || e.AnswerAllOpen(patience) != nil {
 		t.Errorf("%+v", c)
 	}
 	s.mu.Lock()
@@ -641,7 +641,7 @@
 
 // Whatever clients and servers do, and whenever the process ends, each op that was taken has one answer, or no client.
 func TestEveryOpEndsOnce(t *testing.T) {
-	outcomes := []policy.Outcome{policy.Acked, policy.Errored, policy.Full, policy.TimedOut, policy.ConnectFailed, policy.Broken, policy.Miss}
+	outcomes := []policy.Outcome{policy.Acked, policy.Errored, policy.Rejected, policy.TimedOut, policy.ConnectFailed, policy.ConnectionLost, policy.Miss}
 	rapid.Check(t, func(r *rapid.T) {
 		stop, ended := make(chan struct{}), make(chan struct{})
 		e, s := begin(t, nil)
@@ -670,13 +670,13 @@
 				for _, id := range slices.Sorted(maps.Keys(taken)) {
 					if !left[id] && rapid.IntRange(0, 3).Draw(r, "leaves") == 0 {
 						left[id] = true
-						e.Leave(taken[id])
+						e.Abandon(taken[id])
 						break
 					}
 				}
 			}
 		}
-		if err := e.HandBack(patience); err != nil {
+		if err := e.AnswerAllOpen(patience); err != nil {
 			r.Fatal(err)
 		}
 		settled(e)
@@ -705,7 +705,7 @@
 		e.Submit(o)
 		s.answer(s.await(0, fmt.Sprintf("push cache2 op%d ", i)), Result{Outcome: policy.Acked, Value: []byte("v")}) // it has started since
 	}
-	e.List(policy.ListFull, []Member{member(1, policy.Ready), member(2, policy.Draining), member(9, policy.Ready)}) // the service's word counts
+	e.UpdateList(policy.ListFull, []Member{member(1, policy.Ready), member(2, policy.Draining), member(9, policy.Ready)}) // the service's word counts
 	e.Submit(s.op("again", 0))
 	s.await(0, "push cache1 again")
 }
--- a/internal/engine/host.go
+++ b/internal/engine/host.go
@@ -16,21 +16,21 @@
 	if h == nil {
 		return
 	}
-	p := &push{n: h.n, to: cache, at: e.now, giveUp: func(When) bool { return true }}
+	p := &push{n: h.n, to: cache, at: e.now, giveUp: func(AbortCondition) bool { return true }}
 	h.n++
 	h.out = append(h.out, p)
 	if until == 0 || until > h.ttl {
 		until = h.ttl
 	}
 	s := e.servers[cache]
-	if h.over || h.Request.Left() || !h.attemptBegins() || h.n > h.most || until <= e.now || s == nil {
-		e.later = append(e.later, func() { e.ended(h, p, Result{Outcome: policy.Moot}) })
+	if h.over || h.Request.Abandoned() || !h.attemptBegins() || h.n > h.most || until <= e.now || s == nil {
+		e.later = append(e.later, func() { e.ended(h, p, Result{Outcome: policy.NotSent}) })
 		return
 	}
 	e.Counters.Sent++
 	o := h.Op
-	o.mark(&o.Trace.Begun, time.Now())
-	o.Trace.Attempts.Add(1)
+	o.mark(&o.Trace.FirstPush, time.Now())
+	o.Trace.Pushes.Add(1)
 	p.giveUp = s.Push(&h.Request, e.wall(until), func(r Result) {
 		if r.Outcome == policy.Acked && r.Body.Size == 0 {
 			o.came.Store(&r.Value)
@@ -44,9 +44,9 @@
 		e.timers.set(h.ran+h.window-e.Settings.Tick, func() {
 			switch {
 			case !slices.Contains(h.out, p):
-			case p.giveUp(Unwritten):
+			case p.giveUp(IfUnwritten):
 				e.withdrawn(h, p)
-			case p.giveUp(Unsent):
+			case p.giveUp(IfUnsent):
 				e.ended(h, p, Result{Outcome: policy.TimedOut}) // our system's word may be old: it may have run
 			}
 		})
@@ -59,7 +59,7 @@
 	for _, o := range h.out {
 		if o == p {
 			// Danger: an op that must not run twice would be answered as one that may have run, though no byte of it was written.
-			if how == policy.TimedOut && h.effect != policy.Redeliverable && p.giveUp(Unwritten) {
+			if how == policy.TimedOut && h.effect != policy.Redeliverable && p.giveUp(IfUnwritten) {
 				how = policy.ConnectFailed
 			}
 			p.giveUp(Always)
@@ -119,8 +119,8 @@
 	e.timers.set(e.now+max(after, 1), func() { e.module.TimerDue(token) })
 }
 
-// Tell: proxies on sockets have no way to talk to each other yet; a message to peers may be lost.
-func (e *Engine) Tell([]byte) {}
+// SendToPeers: proxies on sockets have no way to talk to each other yet; a message to peers may be lost.
+func (e *Engine) SendToPeers([]byte) {}
 
 // Probe asks a cache for its load report, on a connection that no op waits behind: each carries one thing at a time.
 // One probe is out to a cache at most, and for so long at most; whatever comes of it, the module hears once.
@@ -142,12 +142,12 @@
 		if !told {
 			e.Counters.ProbesUntold++
 		}
-		e.module.Probed(cache, told, r.Waiting, r.Rate)
+		e.module.Probed(cache, told, r.QueueLength, r.OpsPerSecond)
 	}
 	giveUp := s.Push(&Request{Probe: true}, e.wall(until), func(r Result) { e.queue.put(probeEvent, func() { end(r) }) })
 	s.unprobe = func() {
-		if !over && giveUp(Unwritten) {
-			end(Result{Outcome: policy.Moot})
+		if !over && giveUp(IfUnwritten) {
+			end(Result{Outcome: policy.NotSent})
 		}
 	}
 	e.timers.set(until, func() {
@@ -161,8 +161,8 @@
 // Watch switches the list's watch.
 func (e *Engine) Watch(on bool) { e.catalog.Watch(on) }
 
-// Close closes idle connections to a cache.
-func (e *Engine) Close(cache uint32) {
+// CloseIdle closes idle connections to a cache.
+func (e *Engine) CloseIdle(cache uint32) {
 	if s := e.servers[cache]; s != nil {
 		s.Release()
 	}
--- a/internal/engine/ids.go
+++ b/internal/engine/ids.go
@@ -9,9 +9,9 @@
 
 // Why Submit did not take an op.
 var (
-	ErrFull  = errors.New("too much is held")
-	ErrLate  = errors.New("the engine is behind")
-	ErrTwice = errors.New("an op with this id was taken before")
+	ErrFull        = errors.New("too much is held")
+	ErrOverloaded  = errors.New("the engine is behind")
+	ErrDuplicateID = errors.New("an op with this id was taken before")
 )
 
 const mostIDs = 1 << 15 // of one span, so that they stay small whatever comes
--- a/internal/engine/out.go
+++ b/internal/engine/out.go
@@ -47,9 +47,9 @@
 
 const stuckAfter = 2 * time.Second // of one call that has begun: all of them are short
 
-// Retune puts new settings in the place of the old, ahead of all that waits. Open ops, and those handed in by the numbers
+// ApplySettings puts new settings in the place of the old, ahead of all that waits. Open ops, and those handed in by the numbers
 // of before, keep their rules: settings.Join leaves each category its number.
-func (e *Engine) Retune(s policy.Settings, maxOps int, span time.Duration) error {
+func (e *Engine) ApplySettings(s policy.Settings, maxOps int, span time.Duration) error {
 	e.ids.widen(longest(s)) // first: an op under the new rules may be open for longer
 	return e.ahead(span, func() error {
 		e.Settings = s
@@ -98,10 +98,10 @@
 	return m
 }
 
-// HandBack answers all that is open, as the process ends, and takes nothing from here on. It comes back once all have their
+// AnswerAllOpen answers all that is open, as the process ends, and takes nothing from here on. It comes back once all have their
 // answer. What has come by now, answers among it, is heard first, unless that takes half of the span; an engine that
 // does not come to it at all leaves them.
-func (e *Engine) HandBack(span time.Duration) error {
+func (e *Engine) AnswerAllOpen(span time.Duration) error {
 	e.ending.Store(true)
 	done := make(chan struct{})
 	e.queue.put(callEvent, func() { e.handBack(); close(done) })
@@ -126,8 +126,8 @@
 	}
 }
 
-// Glance runs f on the engine's goroutine ahead of all that waits; handed are the caches that are out with their site.
-func (e *Engine) Glance(f func(of policy.Counts, handed int, longest time.Duration)) {
+// ReadStats runs f on the engine's goroutine ahead of all that waits; handed are the caches that are out with their site.
+func (e *Engine) ReadStats(f func(of policy.Counts, handed int, longest time.Duration)) {
 	e.queue.putFirst(func() {
 		handed := 0
 		for _, s := range e.servers {
@@ -139,14 +139,14 @@
 	})
 }
 
-// Out takes a cache out by its name, or lets it be used again. It comes back once nothing that is not written yet can go
+// SetCacheOut takes a cache out by its name, or lets it be used again. It comes back once nothing that is not written yet can go
 // there any more.
-func (e *Engine) Out(name string, out bool, span time.Duration) error {
+func (e *Engine) SetCacheOut(name string, out bool, span time.Duration) error {
 	return e.ahead(span, func() error { return e.putOut(name, out) })
 }
 
-// SetOut says of all caches at once which are out: the word of another process that serves for the same proxy.
-func (e *Engine) SetOut(names []string, span time.Duration) error {
+// SetAllCachesOut says of all caches at once which are out: the word of another process that serves for the same proxy.
+func (e *Engine) SetAllCachesOut(names []string, span time.Duration) error {
 	return e.ahead(span, func() error {
 		for name := range e.out {
 			if !slices.Contains(names, name) {
@@ -186,13 +186,13 @@
 	return nil
 }
 
-// ErrLast is the answer to an operator who would take the last caches out.
-var ErrLast = errors.New("no cache in use would be left")
+// ErrLastCaches is the answer to an operator who would take the last caches out.
+var ErrLastCaches = errors.New("no cache in use would be left")
 
-// Site takes all caches of a zone out, or back, as their turns come. It comes back once the first ones have followed.
-func (e *Engine) Site(zone int, w SiteWord, span time.Duration) error {
+// SetSite takes all caches of a zone out, or back, as their turns come. It comes back once the first ones have followed.
+func (e *Engine) SetSite(zone int, w SiteOverride, span time.Duration) error {
 	return e.ahead(span, func() error {
-		h := e.hands(map[int]SiteWord{zone: w})[zone]
+		h := e.hands(map[int]SiteOverride{zone: w})[zone]
 		known, left := false, false
 		for _, s := range e.servers {
 			m := &s.member
@@ -200,12 +200,12 @@
 				continue
 			}
 			known = known || m.Zone == zone
-			left = left || m.Zone != zone && m.State == policy.Ready && !m.Out && !e.sites[m.Zone].Out
+			left = left || m.Zone != zone && m.State == policy.Ready && !m.Excluded && !e.sites[m.Zone].Out
 		}
 		if _, told := e.sites[zone]; !told && (!known || !h.Out) { // none that nobody took out is called back
 			return ErrUnknown
 		} else if h.Out && !left {
-			return ErrLast
+			return ErrLastCaches
 		}
 		e.sites[zone] = h
 		e.turns()
@@ -213,8 +213,8 @@
 	})
 }
 
-// SetSites says of all zones at once what holds: the word of another process that serves for the same proxy.
-func (e *Engine) SetSites(all map[int]SiteWord, span time.Duration) error {
+// SetAllSites says of all zones at once what holds: the word of another process that serves for the same proxy.
+func (e *Engine) SetAllSites(all map[int]SiteOverride, span time.Duration) error {
 	return e.ahead(span, func() error {
 		e.sites = e.hands(all)
 		e.turns()
@@ -222,15 +222,15 @@
 	})
 }
 
-// SiteWord is what an operator said of a whole zone: its caches go out, or come back, one after another over a span.
-type SiteWord struct {
+// SiteOverride is what an operator said of a whole zone: its caches go out, or come back, one after another over a span.
+type SiteOverride struct {
 	Out  bool
 	At   time.Time
 	Over time.Duration
 }
 
 // hands are words in the engine's time.
-func (e *Engine) hands(all map[int]SiteWord) map[int]site.Hand[policy.Time] {
+func (e *Engine) hands(all map[int]SiteOverride) map[int]site.Hand[policy.Time] {
 	hands := map[int]site.Hand[policy.Time]{}
 	for zone, w := range all {
 		hands[zone] = site.Hand[policy.Time]{Out: w.Out, At: e.offset + policy.Time(w.At.Sub(e.origin)/unit), Over: policy.Time(w.Over / unit)}
@@ -267,14 +267,14 @@
 // follow has a cache be out, or in use again, as operators have said of it or of its site.
 func (e *Engine) follow(s *server) {
 	out := e.out[s.member.Name] || e.handed(&s.member)
-	if s.member.Out == out {
+	if s.member.Excluded == out {
 		return
 	}
 	if !out {
 		e.back[s.member.Name] = e.now
 		s.start = max(s.start, e.now)
 	}
-	s.member.Out = out
+	s.member.Excluded = out
 	e.module.ListArrived(policy.ListDelta, []policy.Entry{s.member.Entry})
 	// Whoever returns has most likely been restarted: connections to what was there may be silent.
 	s.Retire()
--- a/internal/engine/progress.go
+++ b/internal/engine/progress.go
@@ -34,14 +34,14 @@
 
 // Trace is when an op came to each of its states, as nanoseconds since its last byte may have come; 0: it did not. Any goroutine may read it.
 type Trace struct {
-	Submitted, Arrived, Begun, Answered atomic.Int64
-	Attempts                            atomic.Int32
-	Behind                              atomic.Bool // it was answered while the engine was behind
+	Submitted, Arrived, FirstPush, Answered atomic.Int64
+	Pushes                                  atomic.Int32
+	AnsweredDuringLag                       atomic.Bool // it was answered while the engine was behind
 }
 
 // mark notes a state's first time.
 func (o *Op) mark(state *atomic.Int64, now time.Time) {
-	state.CompareAndSwap(0, max(int64(now.Sub(o.At)), 1))
+	state.CompareAndSwap(0, max(int64(now.Sub(o.ReceivedAt)), 1))
 }
 
 // openOps are the ops that were handed in and have no final answer yet.
--- a/internal/engine/settings_test.go
+++ b/internal/engine/settings_test.go
@@ -146,7 +146,7 @@
 	for i := range many {
 		id := fmt.Sprint("op", i)
 		now := time.Now()
-		o := &Op{At: now, Key: uint64(i % 50), Category: i % len(from.Categories), Tenant: i % 3, Again: i%7 == 0, Reply: one{s, id},
+		o := &Op{ReceivedAt: now, Key: uint64(i % 50), Category: i % len(from.Categories), Tenant: i % 3, IsRetry: i%7 == 0, Reply: one{s, id},
 			Request: Request{Key: "k", ID: id, Write: i%5 == 0, Deadline: deadline.After(now, time.Duration(100+i)*time.Millisecond)}}
 		if e.Submit(o) == nil {
 			taken++
@@ -174,14 +174,14 @@
 	answers map[string]int
 }
 
-func (s *ends) Push(r *Request, until time.Time, done func(Result)) func(When) bool {
+func (s *ends) Push(r *Request, until time.Time, done func(Result)) func(AbortCondition) bool {
 	s.n++
-	switch how := []policy.Outcome{policy.Acked, policy.Acked, policy.Miss, policy.Full, policy.Errored, policy.Broken, policy.ConnectFailed}[s.n%7]; {
+	switch how := []policy.Outcome{policy.Acked, policy.Acked, policy.Miss, policy.Rejected, policy.Errored, policy.ConnectionLost, policy.ConnectFailed}[s.n%7]; {
 	case s.n%11 == 0: // it is silent
 	default:
-		s.due = append(s.due, func() { done(Result{Outcome: how, Value: []byte("v"), Waiting: 1, Rate: 10}) })
+		s.due = append(s.due, func() { done(Result{Outcome: how, Value: []byte("v"), QueueLength: 1, OpsPerSecond: 10}) })
 	}
-	return func(when When) bool { return when == Always }
+	return func(when AbortCondition) bool { return when == Always }
 }
 func (s *ends) Release() {}
 func (s *ends) Retire()  {}
@@ -192,6 +192,6 @@
 }
 
 func (o one) Acked([]byte)         { o.s.answers[o.id]++ }
-func (o one) Passed(Body)          { o.s.answers[o.id]++ }
+func (o one) Streamed(Body)        { o.s.answers[o.id]++ }
 func (o one) Nacked(time.Duration) { o.s.answers[o.id]++ }
 func (o one) DeadLettered()        { o.s.answers[o.id]++ }
--- a/internal/engine/types.go
+++ b/internal/engine/types.go
@@ -27,16 +27,16 @@
 	left atomic.Bool
 }
 
-// Left tells whether the op's client has gone away: no byte of it is sent from there on, however far behind the engine is.
-func (r *Request) Left() bool { return r.left.Load() }
+// Abandoned tells whether the op's client has gone away: no byte of it is sent from there on, however far behind the engine is.
+func (r *Request) Abandoned() bool { return r.left.Load() }
 
-// Leave tells that it has.
-func (r *Request) Leave() { r.left.Store(true) }
+// Abandon tells that it has.
+func (r *Request) Abandon() { r.left.Store(true) }
 
-// Whole is the longest value that is held in one piece, Longest that there is.
+// MaxContiguousBytes is the longest value that is held in one piece, MaxValueBytes that there is.
 const (
-	Whole   = 64 << 10
-	Longest = 4 << 20
+	MaxContiguousBytes = 64 << 10
+	MaxValueBytes      = 4 << 20
 )
 
 // Size is the value's length.
@@ -52,13 +52,13 @@
 
 // Op is one op as a front takes it.
 type Op struct {
-	At               time.Time // when its last byte may have come
+	ReceivedAt       time.Time // when its last byte may have come
 	Key              uint64    // 0: none
 	Category, Tenant int
-	Again            bool // marked as a try that comes again
+	IsRetry          bool // marked as a try that comes again
 	Request          Request
 	Reply            Replier
-	Over             func() // called on the engine's goroutine once nothing of the request is needed any more; may be nil
+	OnRelease        func() // called on the engine's goroutine once nothing of the request is needed any more; may be nil
 
 	Trace Trace // when it came to each of its states
 
@@ -71,7 +71,7 @@
 // Replier takes an op's one final answer. Its methods are called on the engine's goroutine and must not block.
 type Replier interface {
 	Acked(value []byte)
-	Passed(body Body)
+	Streamed(body Body)
 	Nacked(comeBack time.Duration) // 0: no advice
 	DeadLettered()
 }
@@ -85,24 +85,24 @@
 
 // Result is how a push ended.
 type Result struct {
-	Outcome policy.Outcome
-	Missed  bool // the cache said that it had to fetch
-	Value   []byte
-	Body    Body        // in its place, with a size above 0
-	Err     error       // for the log
-	Pace    policy.Time // how long ops take at the cache by its own report; 0: it said nothing
-	Garbled bool        // a report was there, but said nothing that can be
+	Outcome         policy.Outcome
+	Missed          bool // the cache said that it had to fetch
+	Value           []byte
+	Body            Body        // in its place, with a size above 0
+	Err             error       // for the log
+	ReportedLatency policy.Time // how long ops take at the cache by its own report; 0: it said nothing
+	ReportInvalid   bool        // a report was there, but said nothing that can be
 	// What a probe's report says: ops that wait, and ops done in a second.
-	Waiting, Rate float64
+	QueueLength, OpsPerSecond float64
 }
 
-// When says how far a push may have come to be given up.
-type When uint8
+// AbortCondition says how far a push may have come to be given up.
+type AbortCondition uint8
 
 const (
-	Always    When = iota
-	Unwritten      // no byte of it has been written: it has never run
-	Unsent         // its last byte has not come to the server's system, by the word of ours: it may have run, if that word is old
+	Always      AbortCondition = iota
+	IfUnwritten                // no byte of it has been written: it has never run
+	IfUnsent                   // its last byte has not come to the server's system, by the word of ours: it may have run, if that word is old
 )
 
 // Server is one cache or origin. None of its methods may block.
@@ -111,7 +111,7 @@
 	// another goroutine. After the function returned here has been called, the push is no longer out on an
 	// open connection, and its result, if one still comes, counts for nothing. It does so only as far as when says, and
 	// tells whether.
-	Push(r *Request, until time.Time, done func(Result)) (giveUp func(when When) bool)
+	Push(r *Request, until time.Time, done func(Result)) (giveUp func(when AbortCondition) bool)
 	Release() // closes idle connections
 	Retire()  // closes idle connections, and the others once their push has ended
 }
--- a/internal/front/command.go
+++ b/internal/front/command.go
@@ -76,7 +76,7 @@
 	if len(words) != want {
 		return nil, fmt.Errorf("wrong number of arguments: %d words wanted, %d came", want, len(words))
 	}
-	o := &engine.Op{At: received, Tenant: engine.NoTenant}
+	o := &engine.Op{ReceivedAt: received, Tenant: engine.NoTenant}
 	o.Request = engine.Request{Key: string(words[1]), ID: string(words[2]), Write: write}
 	for i, name := range []string{o.Request.Key, o.Request.ID} {
 		if !plain(name) {
@@ -124,14 +124,14 @@
 			if value != "0" && value != "1" || marked {
 				return fmt.Errorf("r=%s is no mark of a retry", value)
 			}
-			o.Again, marked = value == "1", true
+			o.IsRetry, marked = value == "1", true
 		case "d":
 			ms, err := strconv.ParseFloat(value, 64)
 			if err != nil || strings.Trim(value, "0123456789.") != "" || wait || !(ms > 0) || ms > float64(longestWait/time.Millisecond) {
 				return fmt.Errorf("d=%s is no waiting time in milliseconds", value)
 			}
-			o.Request.Deadline = deadline.After(o.At, time.Duration(math.Floor(ms*float64(time.Millisecond))))
-			o.Request.Properties = deadline.Cut(list, end-len(value), end)
+			o.Request.Deadline = deadline.After(o.ReceivedAt, time.Duration(math.Floor(ms*float64(time.Millisecond))))
+			o.Request.Properties = deadline.RemoveDeadline(list, end-len(value), end)
 			wait = true
 		}
 		at = end + 1
--- a/internal/front/conn.go
+++ b/internal/front/conn.go
@@ -163,6 +163,6 @@
 	c.signal()
 	c.front.remove(c)
 	for _, op := range left {
-		c.front.Engine.Leave(op)
+		c.front.Engine.Abandon(op)
 	}
 }
--- a/internal/front/endings_test.go
+++ b/internal/front/endings_test.go
@@ -203,7 +203,7 @@
 	c.mu.Lock()
 	passed := make(chan bool)
 	go func() {
-		s.Passed(engine.Body{Size: 100000, ReadCloser: r})
+		s.Streamed(engine.Body{Size: 100000, ReadCloser: r})
 		close(passed)
 	}()
 	for late := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
@@ -232,4 +232,4 @@
 type nobody struct{}
 
 func (nobody) Submit(*engine.Op) error { return nil }
-func (nobody) Leave(*engine.Op)        {}
+func (nobody) Abandon(*engine.Op)      {}
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -24,19 +24,19 @@
 // Engine is where ops go.
 type Engine interface {
 	Submit(*engine.Op) error
-	Leave(*engine.Op)
+	Abandon(*engine.Op)
 }
 
 // Server serves clients.
 type Server struct {
-	Engine Engine
-	Names  NameTable        // at first
-	MaxConns  atomic.Int64 // open at once, at most
-	Metrics   *figures.Book
-	MaxLongValueBytes   int64 // bytes of long values that all clients together may have under way to caches and origin
-	MaxPendingBytes  int64 // bytes of answers that all clients together may leave unread, and of commands half read
-	Log    zerolog.Logger
-	Pulse  *pulse.Pulse // tells of stalls of this process; nil: none is known
+	Engine            Engine
+	Names             NameTable    // at first
+	MaxConns          atomic.Int64 // open at once, at most
+	Metrics           *figures.Book
+	MaxLongValueBytes int64 // bytes of long values that all clients together may have under way to caches and origin
+	MaxPendingBytes   int64 // bytes of answers that all clients together may leave unread, and of commands half read
+	Log               zerolog.Logger
+	Pulse             *pulse.Monitor // tells of stalls of this process; nil: none is known
 
 	listener *net.TCPListener
 	mu       sync.Mutex
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -38,14 +38,14 @@
 	case o.Request.ID == "panic":
 		panic("in the front")
 	case o.Request.ID == "twice":
-		return engine.ErrTwice
+		return engine.ErrDuplicateID
 	case e.full:
 		return engine.ErrFull
 	}
 	e.taken <- o
 	return nil
 }
-func (e *fakeEngine) Leave(o *engine.Op) { e.left <- o }
+func (e *fakeEngine) Abandon(o *engine.Op) { e.left <- o }
 
 func serve(t *testing.T, change func(*Server)) (*Server, *fakeEngine) {
 	t.Helper()
@@ -149,7 +149,7 @@
 // passedOn is the list that an attempt sends on whose answer is waited for so long.
 func passedOn(t *testing.T, r *engine.Request, now time.Time, wait time.Duration) string {
 	t.Helper()
-	passed, err := r.Deadline.Pass(now, now.Add(wait), deadline.Held)
+	passed, err := r.Deadline.ForAttempt(now, now.Add(wait), deadline.SingleWrite)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -162,8 +162,8 @@
 	c.send(words("cache.set", "7f3a9c21e0b4d655", "id1", "d=480,c=put,size=9,r=1,t=acme", "a value"))
 	o := wait(t, e.taken)
 	r := &o.Request
-	if o.Key != 0x7f3a9c21e0b4d655 || o.Category != 1 || o.Tenant != 0 || r.Deadline.Left(o.At) != 480*time.Millisecond || !r.Write ||
-		r.ID != "id1" || string(r.Value) != "a value" || passedOn(t, r, o.At, 7*time.Millisecond) != "d=7,c=put,size=9,r=1,t=acme" {
+	if o.Key != 0x7f3a9c21e0b4d655 || o.Category != 1 || o.Tenant != 0 || r.Deadline.Remaining(o.ReceivedAt) != 480*time.Millisecond || !r.Write ||
+		r.ID != "id1" || string(r.Value) != "a value" || passedOn(t, r, o.ReceivedAt, 7*time.Millisecond) != "d=7,c=put,size=9,r=1,t=acme" {
 		t.Errorf("%+v", o)
 	}
 	o.Reply.Acked([]byte("ok"))
@@ -510,7 +510,7 @@
 			return
 		}
 		now := time.Now()
-		if o, err := names.parse(w, len(w) == 5, now); err == nil && (o.Request.Deadline.Left(now) <= 0 || o.Key == 0 ||
+		if o, err := names.parse(w, len(w) == 5, now); err == nil && (o.Request.Deadline.Remaining(now) <= 0 || o.Key == 0 ||
 			o.Request.Properties.Size() >= len(w[3]) || o.Request.Properties.Size() == 0 || !plain(o.Request.ID)) {
 			t.Errorf("%q made %+v", b, o)
 		}
--- a/internal/front/listen.go
+++ b/internal/front/listen.go
@@ -59,7 +59,7 @@
 	if queued {
 		return f.vacant
 	}
-	return later(f.vacant, f.Pulse.Since(time.Now()))
+	return later(f.vacant, f.Pulse.EarliestArrival(time.Now()))
 }
 
 // rest takes what stands in a listener's queue, without waiting.
--- a/internal/front/long_test.go
+++ b/internal/front/long_test.go
@@ -30,7 +30,7 @@
 	f.long.Release(f.MaxLongValueBytes - int64(len(value)))
 	o.Reply.Acked([]byte("receipt"))
 	c.want("$7", "receipt", "+PONG")
-	if o.Over(); !f.long.TryAcquire(f.MaxLongValueBytes) {
+	if o.OnRelease(); !f.long.TryAcquire(f.MaxLongValueBytes) {
 		t.Error("room not given back")
 	}
 }
@@ -96,7 +96,7 @@
 	c.send(words("CACHE.GET", "k", "a", "c=read,d=5000") + words("CACHE.GET", "k", "b", "c=read,d=5000") + words("PING"))
 	a, b := wait(t, e.taken), wait(t, e.taken)
 	second, _ := body(100, nil)
-	b.Reply.Passed(second)
+	b.Reply.Streamed(second)
 	a.Reply.Acked([]byte("first"))
 	c.want("$5", "first", "$100000")
 	got := make([]byte, 100000)
@@ -116,7 +116,7 @@
 		c := dial(t, f)
 		c.send(words("CACHE.GET", "k", fmt.Sprint("id", i), "c=read,d=5000") + words("PING"))
 		value, _ := body(k.pieces, k.err)
-		wait(t, e.taken).Reply.Passed(value)
+		wait(t, e.taken).Reply.Streamed(value)
 		c.want("$100000")
 		rest, _ := io.ReadAll(c.r)
 		if len(rest) > 100000 || strings.Contains(string(rest), "\r\n") {
@@ -135,7 +135,7 @@
 	c.send(words("CACHE.GET", "k", "a", "c=read,d=5000") + words("CACHE.GET", "k", "b", "c=read,d=5000"))
 	wait(t, e.taken)
 	r, w := io.Pipe()
-	wait(t, e.taken).Reply.Passed(engine.Body{Size: 100000, ReadCloser: r}) // behind one that is open
+	wait(t, e.taken).Reply.Streamed(engine.Body{Size: 100000, ReadCloser: r}) // behind one that is open
 	c.Close()
 	ended := make(chan error, 1)
 	go func() {
--- a/internal/front/reader.go
+++ b/internal/front/reader.go
@@ -55,7 +55,7 @@
 		for {
 			n, words, err := next(c.buf.Bytes(), args)
 			var long *resp.BulkTooLongError
-			if errors.As(err, &long) && long.Index == 4 && long.ArrayLength == 5 && long.Length > 0 && long.Length <= engine.Longest {
+			if errors.As(err, &long) && long.Index == 4 && long.ArrayLength == 5 && long.Length > 0 && long.Length <= engine.MaxValueBytes {
 				if !c.long(long) {
 					return
 				}
@@ -240,7 +240,7 @@
 			return c.bad(&c.front.malformed, err)
 		}
 		s := &slot{c: c, op: op, class: names.classes[op.Category]}
-		op.Reply, op.Request.Parts, op.Over = s, parts, over
+		op.Reply, op.Request.Parts, op.OnRelease = s, parts, over
 		if !c.reserve(s) {
 			return false
 		}
@@ -254,7 +254,7 @@
 		c.mu.Lock()
 		s.op = nil
 		c.mu.Unlock()
-		if errors.Is(err, engine.ErrTwice) {
+		if errors.Is(err, engine.ErrDuplicateID) {
 			// The op that has this id stays untouched: a value for it belongs to its own client alone.
 			c.front.twice.Add(1)
 			s.put(figures.Failed, errorLine(err), engine.Body{})
--- a/internal/front/received_test.go
+++ b/internal/front/received_test.go
@@ -26,10 +26,10 @@
 // inTime wants a request's deadline to be no later than its client's, nor as if it had come ahead of the test.
 func inTime(t *testing.T, o *engine.Op, begun, written time.Time) {
 	t.Helper()
-	if over := o.Request.Deadline.Left(written) - waits; over > tolerated {
+	if over := o.Request.Deadline.Remaining(written) - waits; over > tolerated {
 		t.Errorf("%s has %v more than its client waits", o.Request.ID, over)
 	}
-	if less := waits - o.Request.Deadline.Left(begun); less > tolerated {
+	if less := waits - o.Request.Deadline.Remaining(begun); less > tolerated {
 		t.Errorf("%s has %v less than its client waits", o.Request.ID, less)
 	}
 }
@@ -48,7 +48,7 @@
 	second.send(set("second"))
 	written := time.Now()
 	time.Sleep(keptFor)
-	holds.Over()
+	holds.OnRelease()
 	inTime(t, wait(t, e.taken), begun, written)
 }
 
@@ -118,7 +118,7 @@
 	c := pairOn(t, "unix", filepath.Join(t.TempDir(), "s"), func(nc net.Conn) { f.admit(nc, time.Now()) })
 	c.send(words("PING"))
 	c.want("+PONG")
-	for until := time.Now().Add(keptFor); time.Now().Before(until); time.Sleep(pulse.Every / 4) { // the reader waits by now
+	for until := time.Now().Add(keptFor); time.Now().Before(until); time.Sleep(pulse.BeatInterval / 4) { // the reader waits by now
 		beat.Beat(time.Now())
 	}
 	last := time.Now()
@@ -126,13 +126,13 @@
 	time.Sleep(keptFor)
 	c.send(words("CACHE.GET", "k", "stalled", "c=read,d="+longWait))
 	o := wait(t, e.taken)
-	if left := o.Request.Deadline.Left(last); left != waits {
+	if left := o.Request.Deadline.Remaining(last); left != waits {
 		t.Errorf("counted from the last moment at which the process ran, it has %v", left)
 	}
 	stop, stopped := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(stopped)
-		for clock := time.NewTicker(pulse.Every / 4); ; {
+		for clock := time.NewTicker(pulse.BeatInterval / 4); ; {
 			select {
 			case now := <-clock.C:
 				beat.Beat(now)
@@ -209,7 +209,7 @@
 	f, e := serve(t, func(f *Server) { f.Pulse = beat })
 	woken := newGate()
 	c := pair(t, func(nc net.Conn) { f.admit(&wokenSocket{nc.(*net.TCPConn), woken}, time.Now()) })
-	time.Sleep(2 * pulse.Every) // its reader waits by now
+	time.Sleep(2 * pulse.BeatInterval) // its reader waits by now
 	begun := time.Now()
 	c.send(words("CACHE.GET", "k", "first-stall", "c=read,d="+longWait))
 	written := time.Now()
@@ -217,7 +217,7 @@
 	for range 3 { // stalls, with little time between them
 		time.Sleep(keptFor / 3)
 		beat.Beat(time.Now())
-		time.Sleep(pulse.Every / 4)
+		time.Sleep(pulse.BeatInterval / 4)
 		beat.Beat(time.Now())
 	}
 	close(woken.open)
--- a/internal/front/slot.go
+++ b/internal/front/slot.go
@@ -24,7 +24,7 @@
 	s.put(figures.Served, redcon.AppendBulk(make([]byte, 0, len(value)+16), value), engine.Body{})
 }
 
-func (s *slot) Passed(body engine.Body) {
+func (s *slot) Streamed(body engine.Body) {
 	s.put(figures.Served, append(strconv.AppendInt([]byte("$"), int64(body.Size), 10), "\r\n"...), body)
 }
 
--- a/internal/front/source.go
+++ b/internal/front/source.go
@@ -17,7 +17,7 @@
 type source struct {
 	nc    net.Conn
 	raw   syscall.RawConn // nil: the connection is no socket
-	pulse *pulse.Pulse
+	pulse *pulse.Monitor
 	empty time.Time // nothing that has not been read had come by then
 	came  time.Time // the last byte that was read came after this
 
@@ -32,7 +32,7 @@
 }
 
 // newSource reads a connection on which nothing had come by a moment.
-func newSource(nc net.Conn, empty time.Time, pulse *pulse.Pulse) *source {
+func newSource(nc net.Conn, empty time.Time, pulse *pulse.Monitor) *source {
 	s := &source{nc: nc, pulse: pulse, empty: empty, came: empty}
 	if socket, ok := nc.(syscall.Conn); ok {
 		s.raw, _ = socket.SyscallConn()
@@ -45,7 +45,7 @@
 func (s *source) Read(into []byte) (int, error) {
 	if s.raw == nil {
 		n, err := s.nc.Read(into)
-		s.came = s.pulse.Since(time.Now())
+		s.came = s.pulse.EarliestArrival(time.Now())
 		return n, err
 	}
 	s.into, s.waited, s.known = into, false, s.empty
@@ -93,7 +93,7 @@
 // arrival is a moment at which what a reader has waited for had not come. Whoever waits is woken at once, unless the process was not run: then our
 // system knows when it last received something. Asked ahead of the read: what comes in between is taken for older than it is, never for newer.
 func (s *source) arrival(fd uintptr, now time.Time) time.Time {
-	since := s.pulse.Since(now)
+	since := s.pulse.EarliestArrival(now)
 	if !since.Before(now) {
 		return now
 	}
--- a/internal/front/trace.go
+++ b/internal/front/trace.go
@@ -57,20 +57,20 @@
 		name string
 		at   int64
 	}{
-		{"submitted_ms", o.Trace.Submitted.Load()}, {"arrived_ms", o.Trace.Arrived.Load()}, {"begun_ms", o.Trace.Begun.Load()},
+		{"submitted_ms", o.Trace.Submitted.Load()}, {"arrived_ms", o.Trace.Arrived.Load()}, {"begun_ms", o.Trace.FirstPush.Load()},
 		{"answered_ms", o.Trace.Answered.Load()},
 	} {
 		if state.at > 0 {
 			l.Float64(state.name, float64(state.at)/1e6)
 		}
 	}
-	return l.Int32("attempts", o.Trace.Attempts.Load()).Bool("behind", o.Trace.Behind.Load())
+	return l.Int32("attempts", o.Trace.Pushes.Load()).Bool("behind", o.Trace.AnsweredDuringLag.Load())
 }
 
 // written logs a request's answer as it is written: at debug, and at warn if it is late.
 func (f *Server) written(o *engine.Op, end string, err error) {
 	now := time.Now()
-	late := -o.Left(now)
+	late := -o.Remaining(now)
 	l := f.Log.Debug()
 	if late > lateBy && f.late.allow(now) {
 		l = f.Log.Warn()
@@ -78,7 +78,7 @@
 	if !l.Enabled() {
 		return
 	}
-	times(l, o).Str("end", end).Float64("written_ms", now.Sub(o.At).Seconds()*1000).Float64("late_ms", late.Seconds()*1000).AnErr("failed", err).
+	times(l, o).Str("end", end).Float64("written_ms", now.Sub(o.ReceivedAt).Seconds()*1000).Float64("late_ms", late.Seconds()*1000).AnErr("failed", err).
 		Msg("request answered")
 }
 
@@ -91,5 +91,5 @@
 	if !l.Enabled() {
 		return
 	}
-	times(l, o).Stringer("stood", stood).Str("reason", string(why)).Float64("closed_ms", time.Since(o.At).Seconds()*1000).Msg("request ended with its connection")
+	times(l, o).Stringer("stood", stood).Str("reason", string(why)).Float64("closed_ms", time.Since(o.ReceivedAt).Seconds()*1000).Msg("request ended with its connection")
 }
--- a/internal/front/trace_test.go
+++ b/internal/front/trace_test.go
@@ -82,7 +82,7 @@
 	log := &kept{}
 	f := &Server{Log: zerolog.New(log).Level(zerolog.InfoLevel)}
 	for range 5 * mostWarnings {
-		o := &engine.Op{At: time.Now().Add(-time.Second)}
+		o := &engine.Op{ReceivedAt: time.Now().Add(-time.Second)}
 		o.Request.ID = "late"
 		f.written(o, "served", nil)
 	}
--- a/internal/origin/origin.go
+++ b/internal/origin/origin.go
@@ -19,7 +19,7 @@
 )
 
 const (
-	longest     = engine.Whole // a value that is held
+	longest     = engine.MaxContiguousBytes // a value that is held
 	longestHead = 16 << 10     // net/http sets no bound to an answer's header
 	mostInterim = 16           // 1xx ahead of one answer
 )
@@ -29,7 +29,7 @@
 
 // Append writes GET /KEY, or PUT /KEY with the value. The properties go on as they came, but for the deadline, which is the attempt's own:
 // the origin is a server like any other.
-func (p Protocol) Append(b []byte, r *engine.Request, passed deadline.Passed) (all []byte, gap int) {
+func (p Protocol) Append(b []byte, r *engine.Request, passed deadline.AttemptDeadline) (all []byte, gap int) {
 	properties := string(r.Properties.Append(nil, passed))
 	req := &http.Request{Method: http.MethodGet, Host: p.Host, URL: &url.URL{Path: "/" + r.Key}, Proto: "HTTP/1.1",
 		ProtoMajor: 1, ProtoMinor: 1, Header: http.Header{"X-Trace-Id": {r.ID}, "X-Props": {properties}, "User-Agent": nil}}
@@ -114,7 +114,7 @@
 	switch {
 	case resp.StatusCode < 200:
 		return engine.Result{}, false, spoilt("no answer behind its interim ones")
-	case resp.ContentLength > longest && resp.ContentLength <= engine.Longest && resp.StatusCode == http.StatusOK:
+	case resp.ContentLength > longest && resp.ContentLength <= engine.MaxValueBytes && resp.StatusCode == http.StatusOK:
 		a.body, a.size, a.keep = resp.Body, resp.ContentLength, !resp.Close
 		return engine.Result{Outcome: policy.Acked, Body: engine.Body{Size: int(a.size)}}, a.keep, nil
 	case resp.ContentLength > longest:
@@ -137,7 +137,7 @@
 		return engine.Result{Outcome: policy.Acked, Value: body}, keep, nil
 	case (resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusGatewayTimeout) &&
 		resp.Header.Get("X-Never-Ran") == "1":
-		return engine.Result{Outcome: policy.Full}, keep, nil
+		return engine.Result{Outcome: policy.Rejected}, keep, nil
 	default:
 		return engine.Result{Outcome: policy.Errored, Err: errors.New("origin: " + resp.Status)}, keep, nil
 	}
--- a/internal/origin/origin_test.go
+++ b/internal/origin/origin_test.go
@@ -77,7 +77,7 @@
 
 func request(id string) *engine.Request {
 	const list = "c=read,d=480,t=acme"
-	return &engine.Request{Key: "7f3a", ID: id, Deadline: deadline.After(time.Now(), clientWait), Properties: deadline.Cut(list, 9, 12)}
+	return &engine.Request{Key: "7f3a", ID: id, Deadline: deadline.After(time.Now(), clientWait), Properties: deadline.RemoveDeadline(list, 9, 12)}
 }
 
 const clientWait = time.Hour
@@ -137,7 +137,7 @@
 	if res := ask(t, p, request("a")); res.Outcome != policy.Acked {
 		t.Fatalf("%+v", res)
 	}
-	if res := ask(t, p, request("b")); res.Outcome != policy.Broken {
+	if res := ask(t, p, request("b")); res.Outcome != policy.ConnectionLost {
 		t.Errorf("%+v", res)
 	}
 	if len(asked) != 2 || s.Opened.Load() != 1 {
@@ -154,28 +154,28 @@
 		"HTTP/1.1 200 OK\r\nEndpoint-Load-Metrics: queue=2\r\nContent-Length: 1\r\n\r\nv": policy.Acked,
 		"HTTP/1.1 500 Failed\r\n" + empty:                                                 policy.Errored,
 		"HTTP/1.1 404 Not Found\r\n" + empty:                                              policy.Errored,
-		"HTTP/1.1 503 Busy\r\nX-Never-Ran: 1\r\n" + empty:                                 policy.Full,
-		"HTTP/1.1 504 Late\r\nX-Never-Ran: 1\r\n" + empty:                                 policy.Full,
+		"HTTP/1.1 503 Busy\r\nX-Never-Ran: 1\r\n" + empty:                                 policy.Rejected,
+		"HTTP/1.1 504 Late\r\nX-Never-Ran: 1\r\n" + empty:                                 policy.Rejected,
 		"HTTP/1.1 503 Busy\r\n" + empty:                                                   policy.Errored,
 		"HTTP/1.1 500 Failed\r\nX-Never-Ran: 1\r\n" + empty:                               policy.Errored,
 		"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Hints\r\nLink: x\r\n\r\n" + ok:         policy.Acked,
-		strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", 50):                               policy.Broken,
-		"HTTP/1.1 101 Switching\r\nUpgrade: x\r\n\r\n":                                    policy.Broken,
-		"HTTP/1.1 200 OK\r\n\r\nv":                                                        policy.Broken,
-		"HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nvv":             policy.Broken,
-		"HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\nv":                                  policy.Broken,
-		"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nv":                          policy.Broken,
-		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nx\r\nv":                     policy.Broken,
-		"garbage\r\n\r\n": policy.Broken,
-		"":                policy.Broken,
-		"HTTP/1.1 200 OK\r\nContent-Length: 99999999999\r\n\r\n" + strings.Repeat("x", 80000): policy.Broken,
-		"HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 2<<20):                                 policy.Broken,
+		strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", 50):                               policy.ConnectionLost,
+		"HTTP/1.1 101 Switching\r\nUpgrade: x\r\n\r\n":                                    policy.ConnectionLost,
+		"HTTP/1.1 200 OK\r\n\r\nv":                                                        policy.ConnectionLost,
+		"HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nvv":             policy.ConnectionLost,
+		"HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\nv":                                  policy.ConnectionLost,
+		"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nv":                          policy.ConnectionLost,
+		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nx\r\nv":                     policy.ConnectionLost,
+		"garbage\r\n\r\n": policy.ConnectionLost,
+		"":                policy.ConnectionLost,
+		"HTTP/1.1 200 OK\r\nContent-Length: 99999999999\r\n\r\n" + strings.Repeat("x", 80000): policy.ConnectionLost,
+		"HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 2<<20):                                 policy.ConnectionLost,
 	} {
 		p, s := open(listen(t, func(int, *http.Request, string) string { return reply }))
 		if res := ask(t, p, request("a")); res.Outcome != want {
 			t.Errorf("%.60q: outcome %d, want %d (%v)", reply, res.Outcome, want, res.Err)
 		}
-		if want == policy.Broken && s.Open() != 0 {
+		if want == policy.ConnectionLost && s.Open() != 0 {
 			t.Errorf("%.60q: the connection was kept", reply)
 		}
 	}
@@ -201,7 +201,7 @@
 	p, _ := open(l.Addr().String())
 	res := ask(t, p, request("a"))
 	var f *pool.Fault
-	if res.Outcome != policy.Broken || !errors.As(res.Err, &f) || f.Progress != pool.AnswerBegun {
+	if res.Outcome != policy.ConnectionLost || !errors.As(res.Err, &f) || f.Progress != pool.AnswerBegun {
 		t.Errorf("%+v", res)
 	}
 }
@@ -219,7 +219,7 @@
 		}
 		res, keep, err := a.Read(request("a"))
 		if err != nil && (keep || res.Value != nil) || len(res.Value) > longest ||
-			err == nil && res.Outcome == policy.Full && !bytes.Contains(bytes.ToLower(b), []byte("x-never-ran")) {
+			err == nil && res.Outcome == policy.Rejected && !bytes.Contains(bytes.ToLower(b), []byte("x-never-ran")) {
 			t.Errorf("%q: %+v, %v", b, res, err)
 		}
 	})
--- a/internal/pool/conn.go
+++ b/internal/pool/conn.go
@@ -168,7 +168,7 @@
 func (c *conn) begin(a *attempt) bool {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
-	if a.cancelled || a.request.Left() {
+	if a.cancelled || a.request.Abandoned() {
 		return false
 	}
 	a.stage = writing
@@ -216,7 +216,7 @@
 
 // wait waits for the first byte of the answer. Danger: of a value in parts much may lie in our system's buffer, for a server that hangs, and
 // would come there with a deadline that is longer than what is left by then: so it is thrown away as that begins.
-func (c *conn) wait(a *attempt, passed deadline.Passed) error {
+func (c *conn) wait(a *attempt, passed deadline.AttemptDeadline) error {
 	if len(a.request.Parts) == 0 {
 		return c.answers.Wait()
 	}
--- a/internal/pool/deadline_test.go
+++ b/internal/pool/deadline_test.go
@@ -404,8 +404,8 @@
 		size    int
 		outcome policy.Outcome
 	}{
-		"our system has all of it":  {512 << 10, policy.Broken}, // it may have run, for all that is known
-		"our system has part of it": {32 << 20, policy.Moot},
+		"our system has all of it":  {512 << 10, policy.ConnectionLost}, // it may have run, for all that is known
+		"our system has part of it": {32 << 20, policy.NotSent},
 	} {
 		for server, protocol := range map[string]pool.Protocol{"cache": caches.Protocol{}, "origin": origin.Protocol{Host: "origin"}} {
 			t.Run(server+", "+name, func(t *testing.T) {
@@ -481,7 +481,7 @@
 		r := request(name)
 		r.Deadline = deadline.After(time.Now(), left)
 		results, _ := push(p, r)
-		if res := wait(t, results); res.Outcome != policy.Moot || !errors.Is(res.Err, deadline.ErrNoTime) {
+		if res := wait(t, results); res.Outcome != policy.NotSent || !errors.Is(res.Err, deadline.ErrNoTime) {
 			t.Errorf("%s: %+v", name, res)
 		}
 		settled()
--- a/internal/pool/endings_test.go
+++ b/internal/pool/endings_test.go
@@ -124,10 +124,10 @@
 // is up, seconds later. All of them are forced: not one connection is up before all clients have left.
 func TestNothingIsWrittenOnceTheConnectionIsUp(t *testing.T) {
 	const many = 300
-	for name, end := range map[string]func(r *engine.Request, giveUp func(engine.When) bool) bool{
-		"taken back":          func(_ *engine.Request, giveUp func(engine.When) bool) bool { return giveUp(engine.Unwritten) },
-		"given up":            func(_ *engine.Request, giveUp func(engine.When) bool) bool { return giveUp(engine.Always) },
-		"its client has left": func(r *engine.Request, _ func(engine.When) bool) bool { r.Leave(); return true },
+	for name, end := range map[string]func(r *engine.Request, giveUp func(engine.AbortCondition) bool) bool{
+		"taken back":          func(_ *engine.Request, giveUp func(engine.AbortCondition) bool) bool { return giveUp(engine.IfUnwritten) },
+		"given up":            func(_ *engine.Request, giveUp func(engine.AbortCondition) bool) bool { return giveUp(engine.Always) },
+		"its client has left": func(r *engine.Request, _ func(engine.AbortCondition) bool) bool { r.Abandon(); return true },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -155,7 +155,7 @@
 			until(t, "up", func() bool { return server.ups.Load() >= many })
 			if name == "its client has left" {
 				for _, results := range ended {
-					if r := wait(t, results); r.Outcome != policy.Moot {
+					if r := wait(t, results); r.Outcome != policy.NotSent {
 						t.Errorf("%+v", r)
 					}
 				}
@@ -199,9 +199,9 @@
 	close(held)
 	settled()
 	r := request("b")
-	r.Leave()
+	r.Abandon()
 	results, _ = push(p, r)
-	if res := wait(t, results); res.Outcome != policy.Moot || s.Stale.Load() != 1 {
+	if res := wait(t, results); res.Outcome != policy.NotSent || s.Stale.Load() != 1 {
 		t.Errorf("%+v, %d stale", res, s.Stale.Load())
 	}
 	results, _ = push(p, request("c"))
@@ -323,12 +323,12 @@
 	const kept = 512 << 10 // that our system takes whole; ten times of it, it does not
 	for name, c := range map[string]struct {
 		size int
-		when engine.When
+		when engine.AbortCondition
 	}{
 		"all of it in our system's buffer":                      {kept, engine.Always},
-		"all of it in our system's buffer, and its time is up":  {kept, engine.Unsent},
+		"all of it in our system's buffer, and its time is up":  {kept, engine.IfUnsent},
 		"part of it in our system's buffer":                     {64 * kept, engine.Always},
-		"part of it in our system's buffer, and its time is up": {64 * kept, engine.Unsent},
+		"part of it in our system's buffer, and its time is up": {64 * kept, engine.IfUnsent},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -380,7 +380,7 @@
 	results, giveUp := push(p, request("a"))
 	wait(t, read)
 	wait(t, whole)
-	if giveUp(engine.Unsent) {
+	if giveUp(engine.IfUnsent) {
 		t.Error("given up")
 	}
 	close(answer)
--- a/internal/pool/fault.go
+++ b/internal/pool/fault.go
@@ -39,9 +39,9 @@
 func (f *Fault) Outcome() policy.Outcome {
 	switch {
 	case f.Progress >= WholeWritten:
-		return policy.Broken
+		return policy.ConnectionLost
 	case f.Progress == PartWritten || errors.Is(f.Err, errNoDescriptor):
-		return policy.Moot
+		return policy.NotSent
 	}
 	return policy.ConnectFailed
 }
--- a/internal/pool/idle_test.go
+++ b/internal/pool/idle_test.go
@@ -14,7 +14,7 @@
 // noProtocol is for connections on which nothing is sent.
 type noProtocol struct{}
 
-func (noProtocol) Append(b []byte, _ *engine.Request, _ deadline.Passed) ([]byte, int) { return b, 0 }
+func (noProtocol) Append(b []byte, _ *engine.Request, _ deadline.AttemptDeadline) ([]byte, int) { return b, 0 }
 func (noProtocol) Answers(io.Reader) Answers                                           { return noAnswers{} }
 
 type noAnswers struct{}
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -23,7 +23,7 @@
 type Protocol interface {
 	// Append adds a request as it goes out, with the deadline that this attempt passes on. A value in parts is left out:
 	// it belongs at a place that gap gives, 0 where there is none.
-	Append(b []byte, r *engine.Request, passed deadline.Passed) (out []byte, gap int)
+	Append(b []byte, r *engine.Request, passed deadline.AttemptDeadline) (out []byte, gap int)
 	// Answers reads what comes over one connection.
 	Answers(r io.Reader) Answers
 }
@@ -62,10 +62,10 @@
 }
 
 // Push makes an attempt on the most recently used idle connection that has settled, or on a new one.
-func (p *Pool) Push(r *engine.Request, until time.Time, done func(engine.Result)) func(engine.When) bool {
+func (p *Pool) Push(r *engine.Request, until time.Time, done func(engine.Result)) func(engine.AbortCondition) bool {
 	a := &attempt{request: r, until: until, done: done}
 	p.start(a)
-	return func(when engine.When) bool { return p.cancel(a, when) }
+	return func(when engine.AbortCondition) bool { return p.cancel(a, when) }
 }
 
 // start hands an attempt to a connection, or has one made for it.
@@ -90,18 +90,18 @@
 }
 
 // cancel cancels an attempt that has come no further than when says, and tells whether it is cancelled.
-func (p *Pool) cancel(a *attempt, when engine.When) bool {
+func (p *Pool) cancel(a *attempt, when engine.AbortCondition) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if a.cancelled {
 		return true
 	}
 	switch when {
-	case engine.Unwritten:
+	case engine.IfUnwritten:
 		if a.stage >= writing {
 			return false
 		}
-	case engine.Unsent:
+	case engine.IfUnsent:
 		over := a.on != nil && a.on.attempt != a // its result is under way
 		if over || a.stage == written && !a.on.holds() {
 			return false
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -68,10 +68,10 @@
 
 func request(id string) *engine.Request {
 	props := "c=read,d=480,size=3"
-	return &engine.Request{Key: "k", ID: id, Deadline: deadline.After(time.Now(), time.Hour), Properties: deadline.Cut(props, 9, 12)}
+	return &engine.Request{Key: "k", ID: id, Deadline: deadline.After(time.Now(), time.Hour), Properties: deadline.RemoveDeadline(props, 9, 12)}
 }
 
-func push(p *pool.Pool, r *engine.Request) (chan engine.Result, func(engine.When) bool) {
+func push(p *pool.Pool, r *engine.Request) (chan engine.Result, func(engine.AbortCondition) bool) {
 	results := make(chan engine.Result, 2)
 	return results, p.Push(r, time.Now().Add(time.Hour), func(res engine.Result) { results <- res })
 }
@@ -174,13 +174,13 @@
 		"before its last byte": {listen(t, func(_ int, c net.Conn) {
 			io.ReadFull(c, make([]byte, 1000))
 			c.(*net.TCPConn).SetLinger(0)
-		}), big, pool.PartWritten, policy.Moot},
+		}), big, pool.PartWritten, policy.NotSent},
 		"after its last byte": {listen(t, func(_ int, c net.Conn) { command(bufio.NewReader(c)) }), request("a"),
-			pool.WholeWritten, policy.Broken},
+			pool.WholeWritten, policy.ConnectionLost},
 		"in mid-answer": {listen(t, func(_ int, c net.Conn) {
 			command(bufio.NewReader(c))
 			io.WriteString(c, "*3\r\n$100\r\nhalf a val")
-		}), request("a"), pool.AnswerBegun, policy.Broken},
+		}), request("a"), pool.AnswerBegun, policy.ConnectionLost},
 	} {
 		s := shared()
 		results, _ := push(pool.New(s, c.addr, caches.Protocol{}), c.request)
@@ -200,29 +200,29 @@
 		"*3\r\n$0\r\n\r\n$-1\r\n$-1\r\n":                 policy.Acked,
 		"*3\r\n$1\r\nv\r\n$3\r\nhit\r\n$2\r\n\xff\r\r\n": policy.Acked, // nothing hangs on the report
 		"*3\r\n$-1\r\n$-1\r\n$-1\r\n":                    policy.Miss,
-		"-BUSY\r\n":                                      policy.Full,
-		"-BUSY inflight=7\r\n":                           policy.Full,
+		"-BUSY\r\n":                                      policy.Rejected,
+		"-BUSY inflight=7\r\n":                           policy.Rejected,
 		"-ERR failed inflight=7\r\n":                     policy.Errored,
 		"-ERR failed \xff\xfe\r\n":                       policy.Errored,
 		// None of these goes on, and the connection stays open: what can't become whole is not waited for.
-		"-BUSYBODY\r\n":                    policy.Broken,
-		"-BUSY\n":                          policy.Broken,
-		"-BUSY\rx":                         policy.Broken,
-		"-" + strings.Repeat("x", 600):     policy.Broken,
-		"+OK\r\n":                          policy.Broken,
-		":1\r\n":                           policy.Broken,
-		"garbage":                          policy.Broken,
-		"*0\r\n":                           policy.Broken,
-		"*1\r\n$1\r\nv\r\n":                policy.Broken,
-		"*3\r\n:5\r\n":                     policy.Broken,
-		"*3\r\n$1\r\nv\r\n$4\r\nmaybe\r\n": policy.Broken,
-		"*3\r\n$1\r\nv\r\n$5\r\nmaybe\r\n$-1\r\n": policy.Broken,
-		"*3\r\n$1\r\nvv":                                  policy.Broken,
-		"*3\r\n$3000000000\r\nv":                          policy.Broken,
-		"*3\r\n$9223372036854775807\r\nv":                 policy.Broken,
-		"*99999999999\r\n":                                policy.Broken,
-		"*3\r\n$4194305\r\n" + strings.Repeat("x", 80000): policy.Broken,
-		"*3\r\n$0" + strings.Repeat("0", 80000):           policy.Broken,
+		"-BUSYBODY\r\n":                    policy.ConnectionLost,
+		"-BUSY\n":                          policy.ConnectionLost,
+		"-BUSY\rx":                         policy.ConnectionLost,
+		"-" + strings.Repeat("x", 600):     policy.ConnectionLost,
+		"+OK\r\n":                          policy.ConnectionLost,
+		":1\r\n":                           policy.ConnectionLost,
+		"garbage":                          policy.ConnectionLost,
+		"*0\r\n":                           policy.ConnectionLost,
+		"*1\r\n$1\r\nv\r\n":                policy.ConnectionLost,
+		"*3\r\n:5\r\n":                     policy.ConnectionLost,
+		"*3\r\n$1\r\nv\r\n$4\r\nmaybe\r\n": policy.ConnectionLost,
+		"*3\r\n$1\r\nv\r\n$5\r\nmaybe\r\n$-1\r\n": policy.ConnectionLost,
+		"*3\r\n$1\r\nvv":                                  policy.ConnectionLost,
+		"*3\r\n$3000000000\r\nv":                          policy.ConnectionLost,
+		"*3\r\n$9223372036854775807\r\nv":                 policy.ConnectionLost,
+		"*99999999999\r\n":                                policy.ConnectionLost,
+		"*3\r\n$4194305\r\n" + strings.Repeat("x", 80000): policy.ConnectionLost,
+		"*3\r\n$0" + strings.Repeat("0", 80000):           policy.ConnectionLost,
 	} {
 		addr := listen(t, func(_ int, c net.Conn) {
 			r := bufio.NewReader(c)
@@ -277,7 +277,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	second, _ := push(p, request("b"))
-	if res := wait(t, second); res.Outcome != policy.Moot || s.Shortages.Load() != 1 {
+	if res := wait(t, second); res.Outcome != policy.NotSent || s.Shortages.Load() != 1 {
 		t.Errorf("%+v", res)
 	}
 	for s.Opened.Load() == 0 {
@@ -327,7 +327,7 @@
 	panic("in the parser")
 }
 
-func (p panicky) Append(b []byte, r *engine.Request, passed deadline.Passed) ([]byte, int) {
+func (p panicky) Append(b []byte, r *engine.Request, passed deadline.AttemptDeadline) ([]byte, int) {
 	if p.writing {
 		panic("in the writer")
 	}
@@ -339,7 +339,7 @@
 		command(bufio.NewReader(c))
 		io.WriteString(c, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
 	})
-	for writing, outcome := range map[bool]policy.Outcome{false: policy.Broken, true: policy.Moot} {
+	for writing, outcome := range map[bool]policy.Outcome{false: policy.ConnectionLost, true: policy.NotSent} {
 		s := shared()
 		results, _ := push(pool.New(s, addr, panicky{writing: writing}), request("a"))
 		if res := wait(t, results); res.Outcome != outcome || s.Panics.Load() != 1 || s.Open() != 0 {
--- a/internal/pool/send.go
+++ b/internal/pool/send.go
@@ -17,14 +17,14 @@
 
 // send writes a request. The deadline that it passes on is computed here, right ahead of the write, and nowhere else; a write
 // that does not end in the time that was left out of it is broken off.
-func (c *conn) send(a *attempt) (passed deadline.Passed, err error) {
+func (c *conn) send(a *attempt) (passed deadline.AttemptDeadline, err error) {
 	r := a.request
 	if !r.Probe {
-		how := deadline.Held
+		how := deadline.SingleWrite
 		if len(r.Parts) > 0 {
-			how = deadline.Parts
+			how = deadline.MultipleWrites
 		}
-		if passed, err = r.Deadline.Pass(time.Now(), a.until, how); err != nil {
+		if passed, err = r.Deadline.ForAttempt(time.Now(), a.until, how); err != nil {
 			return passed, err
 		}
 	}
--- a/internal/pulse/pulse.go
+++ b/internal/pulse/pulse.go
@@ -8,16 +8,16 @@
 )
 
 const (
-	// Every is the longest time between two beats of a process that is run when it is due.
-	Every = 20 * time.Millisecond
+	// BeatInterval is the longest time between two beats of a process that is run when it is due.
+	BeatInterval = 20 * time.Millisecond
 	// tolerated is a pause between two beats that counts as none: timers are late by some milliseconds on any busy machine.
-	tolerated = 2 * Every
+	tolerated = 2 * BeatInterval
 	// recovery is how long after a stall there may still be something to handle that came within it: all that piled up comes at once.
-	recovery = 5 * Every
+	recovery = 5 * BeatInterval
 )
 
-// Pulse is fed by a goroutine that beats, and asked by all others. A nil one knows of no stall.
-type Pulse struct {
+// Monitor is fed by a goroutine that beats, and asked by all others. A nil one knows of no stall.
+type Monitor struct {
 	mu        sync.Mutex
 	last      time.Time // beat
 	stalled   time.Time // the last beat ahead of the last stall
@@ -25,10 +25,10 @@
 }
 
 // New makes a pulse that has beaten once.
-func New(now time.Time) *Pulse { return &Pulse{last: now} }
+func New(now time.Time) *Monitor { return &Monitor{last: now} }
 
 // Beat says that the process runs. It must come at least once in Every.
-func (p *Pulse) Beat(now time.Time) {
+func (p *Monitor) Beat(now time.Time) {
 	if p == nil {
 		return
 	}
@@ -40,9 +40,9 @@
 	p.last = now
 }
 
-// Since is the earliest moment at which something may have come that waited for this process until now: now itself, unless the process
+// EarliestArrival is the earliest moment at which something may have come that waited for this process until now: now itself, unless the process
 // stands in a stall, or has just left one.
-func (p *Pulse) Since(now time.Time) time.Time {
+func (p *Monitor) EarliestArrival(now time.Time) time.Time {
 	if p == nil {
 		return now
 	}
--- a/internal/pulse/pulse_test.go
+++ b/internal/pulse/pulse_test.go
@@ -27,7 +27,7 @@
 			for _, at := range c.beats {
 				p.Beat(start.Add(at))
 			}
-			if got := p.Since(start.Add(c.now)).Sub(start); got != c.want {
+			if got := p.EarliestArrival(start.Add(c.now)).Sub(start); got != c.want {
 				t.Errorf("since %v, %v wanted", got, c.want)
 			}
 		})
@@ -35,10 +35,10 @@
 }
 
 func TestNoPulseKnowsOfNoStall(t *testing.T) {
-	var p *Pulse
+	var p *Monitor
 	now := time.Now()
 	p.Beat(now)
-	if p.Since(now) != now {
+	if p.EarliestArrival(now) != now {
 		t.Error("a stall")
 	}
 }
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -121,8 +121,8 @@
 func down(us uint64) policy.Time { return policy.Time(us / 100) }
 
 var outcomes = map[uint8]policy.Outcome{
-	10: policy.Acked, 20: policy.Errored, 30: policy.Full, 40: policy.TimedOut, 50: policy.ConnectFailed,
-	60: policy.Broken, 70: policy.Cancelled, 80: policy.Moot, 90: policy.Miss,
+	10: policy.Acked, 20: policy.Errored, 30: policy.Rejected, 40: policy.TimedOut, 50: policy.ConnectFailed,
+	60: policy.ConnectionLost, 70: policy.Cancelled, 80: policy.NotSent, 90: policy.Miss,
 }
 var listKinds = map[uint8]policy.ListKind{
 	0: policy.ListFull, 1: policy.ListDelta, 2: policy.ListCached, 4: policy.ListFailed,
@@ -159,7 +159,7 @@
 			return cut()
 		}
 		if in.proxy != nil {
-			in.proxy.PeerSaid(news)
+			in.proxy.PeerMessageReceived(news)
 		}
 	case 2:
 		tid := r.u32()
@@ -303,7 +303,7 @@
 	b = binary.LittleEndian.AppendUint64(b, uint64(max(until, 0))*100)
 	in.w.out = binary.LittleEndian.AppendUint32(b, cache)
 }
-func (in *instance) Tell(news []byte) {
+func (in *instance) SendToPeers(news []byte) {
 	b := binary.LittleEndian.AppendUint32(in.begin(2), math.MaxUint32)
 	in.w.out = append(binary.LittleEndian.AppendUint16(b, uint16(len(news))), news...)
 }
@@ -332,7 +332,7 @@
 func (in *instance) Probe(cache uint32) {
 	in.w.out = binary.LittleEndian.AppendUint32(in.begin(9), cache)
 }
-func (in *instance) Close(cache uint32) {
+func (in *instance) CloseIdle(cache uint32) {
 	in.w.out = binary.LittleEndian.AppendUint32(in.begin(11), cache)
 }
 func (in *instance) Log(s string) { in.w.out = text(append(in.w.out, 10), in.id, s) }
--- a/internal/state/snapshot.go
+++ b/internal/state/snapshot.go
@@ -12,10 +12,10 @@
 	"minttray/decide/warm"
 )
 
-// Snapshots is the file in which what was learned outlives a restart. It belongs to one goroutine at a time.
-type Snapshots struct {
-	Oldest, Half time.Duration // age up to which one is taken, and after which it counts for half
-	Turn         time.Duration // for which kept keys are known
+// SnapshotFile is the file in which what was learned outlives a restart. It belongs to one goroutine at a time.
+type SnapshotFile struct {
+	MaxAge, HalfLife time.Duration // age up to which one is taken, and after which it counts for half
+	KeyWindow         time.Duration // for which kept keys are known
 
 	path, proxy, settings string
 	lock                  *os.File
@@ -30,17 +30,17 @@
 	Memory   warm.Memory `json:"memory"`
 }
 
-// ErrNone means that there is no snapshot.
-var ErrNone = errors.New("state: no snapshot")
+// ErrNoSnapshot means that there is no snapshot.
+var ErrNoSnapshot = errors.New("state: no snapshot")
 
 const (
 	ahead       = 2 * time.Second // clocks may differ by so much
 	mostDoubled = 6               // waits after writes that failed, in a row
 )
 
-// OpenSnapshots names the file of one proxy in a lasting directory. settings tells in short what it is learned under.
-func OpenSnapshots(dir, proxy, listen, settings string) *Snapshots {
-	s := &Snapshots{path: Open(dir, proxy, listen).path + ".learned", proxy: proxy, settings: settings}
+// OpenSnapshotFile names the file of one proxy in a lasting directory. settings tells in short what it is learned under.
+func OpenSnapshotFile(dir, proxy, listen, settings string) *SnapshotFile {
+	s := &SnapshotFile{path: Open(dir, proxy, listen).path + ".learned", proxy: proxy, settings: settings}
 	// What a process left that was killed while it wrote: renamed by nobody, it would stay for ever.
 	left, _ := filepath.Glob(filepath.Join(dir, "."+filepath.Base(s.path)+"*"))
 	for _, path := range left {
@@ -51,12 +51,12 @@
 	return s
 }
 
-// Take reads what a process before this one has left, as far as it counts by now. ErrNone: there is nothing; any other error
+// Load reads what a process before this one has left, as far as it counts by now. ErrNone: there is nothing; any other error
 // tells why what is there is not used.
-func (s *Snapshots) Take(now time.Time) (m *warm.Memory, age time.Duration, err error) {
+func (s *SnapshotFile) Load(now time.Time) (m *warm.Memory, age time.Duration, err error) {
 	var shot snapshot
 	if err := read(s.path, s.proxy, longestMemory, &shot); errors.Is(err, fs.ErrNotExist) {
-		return nil, 0, ErrNone
+		return nil, 0, ErrNoSnapshot
 	} else if err != nil {
 		return nil, 0, err
 	}
@@ -65,24 +65,24 @@
 		return nil, age, errors.New("state: learned under other settings")
 	case age < -ahead: // Danger: by a clock that was put back, it would never be old.
 		return nil, age, fmt.Errorf("state: written %v from now: a clock was changed", -age)
-	case age > s.Oldest:
-		return nil, age, fmt.Errorf("state: %v old, at most %v", age.Round(time.Millisecond), s.Oldest)
+	case age > s.MaxAge:
+		return nil, age, fmt.Errorf("state: %v old, at most %v", age.Round(time.Millisecond), s.MaxAge)
 	}
 	if err := shot.Memory.Check(); err != nil {
 		return nil, age, fmt.Errorf("state: memory: %w", err)
 	}
 	age = max(age, 0)
 	const unit = 100 * time.Microsecond
-	shot.Memory.Fade(int64(age/unit), int64(s.Half/unit), int64(s.Turn/unit))
+	shot.Memory.Fade(int64(age/unit), int64(s.HalfLife/unit), int64(s.KeyWindow/unit))
 	return &shot.Memory, age, nil
 }
 
-// Retuned tells that other settings are in force.
-func (s *Snapshots) Retuned(settings string) { s.settings = settings }
+// SetSettings tells that other settings are in force.
+func (s *SnapshotFile) SetSettings(settings string) { s.settings = settings }
 
-// Ours tells whether this process is the one that writes: of two with one file, the one that came first, until it ends,
+// AcquireWriteLock tells whether this process is the one that writes: of two with one file, the one that came first, until it ends,
 // however it does.
-func (s *Snapshots) Ours() bool {
+func (s *SnapshotFile) AcquireWriteLock() bool {
 	if s.lock != nil {
 		return true
 	}
@@ -100,10 +100,10 @@
 
 // Due tells whether to write now. After a write that failed it waits, longer with each in a row: a full disk is not tried
 // at every turn.
-func (s *Snapshots) Due(now time.Time) bool { return !now.Before(s.next) && s.Ours() }
+func (s *SnapshotFile) Due(now time.Time) bool { return !now.Before(s.next) && s.AcquireWriteLock() }
 
 // Write puts what was learned in the place of what was there. first: the first failure in a row, which is worth a word.
-func (s *Snapshots) Write(m warm.Memory, now time.Time, every time.Duration) (first bool, err error) {
+func (s *SnapshotFile) Write(m warm.Memory, now time.Time, every time.Duration) (first bool, err error) {
 	if err = write(s.path, s.proxy, snapshot{now, s.settings, m}); err != nil {
 		s.next = now.Add(every << min(s.failed, mostDoubled))
 		s.failed++
@@ -114,7 +114,7 @@
 }
 
 // Close lets another process write.
-func (s *Snapshots) Close() {
+func (s *SnapshotFile) Close() {
 	if s.lock != nil {
 		s.lock.Close()
 		s.lock = nil
--- a/internal/state/snapshot_test.go
+++ b/internal/state/snapshot_test.go
@@ -9,33 +9,33 @@
 	"time"
 )
 
-func shots(dir, settings string) *Snapshots {
-	s := OpenSnapshots(dir, "n1", "a", settings)
-	s.Oldest, s.Half, s.Turn = time.Minute, 10*time.Second, 4*time.Second
+func shots(dir, settings string) *SnapshotFile {
+	s := OpenSnapshotFile(dir, "n1", "a", settings)
+	s.MaxAge, s.HalfLife, s.KeyWindow = time.Minute, 10*time.Second, 4*time.Second
 	return s
 }
 
 func TestSnapshotOutlivesItsProcess(t *testing.T) {
 	dir, now := t.TempDir(), time.Now()
 	s := shots(dir, "one")
-	if _, _, err := s.Take(now); !errors.Is(err, ErrNone) {
+	if _, _, err := s.Load(now); !errors.Is(err, ErrNoSnapshot) {
 		t.Error(err)
 	}
 	if _, err := s.Write(learned, now, time.Second); err != nil || s.Due(now.Add(time.Second/2)) || !s.Due(now.Add(time.Second)) {
 		t.Errorf("%v, or written too often", err)
 	}
-	m, age, err := shots(dir, "one").Take(now.Add(5 * time.Second))
+	m, age, err := shots(dir, "one").Load(now.Add(5 * time.Second))
 	if err != nil || age != 5*time.Second || len(m.Kept) > 0 || m.Caches[7].Of.Sent.Sum() != 4 || m.Caches[7].Of.Done.Sum() != 0 {
 		t.Errorf("%+v, %v old, %v", m, age, err)
 	}
 	for want, take := range map[string]func() error{
-		"other settings": func() error { _, _, err := shots(dir, "two").Take(now); return err },
-		"clock":          func() error { _, _, err := shots(dir, "one").Take(now.Add(-time.Hour)); return err },
-		"at most":        func() error { _, _, err := shots(dir, "one").Take(now.Add(time.Hour)); return err },
+		"other settings": func() error { _, _, err := shots(dir, "two").Load(now); return err },
+		"clock":          func() error { _, _, err := shots(dir, "one").Load(now.Add(-time.Hour)); return err },
+		"at most":        func() error { _, _, err := shots(dir, "one").Load(now.Add(time.Hour)); return err },
 		"of proxy": func() error {
 			other := shots(dir, "one")
 			other.proxy = "n2"
-			_, _, err := other.Take(now)
+			_, _, err := other.Load(now)
 			return err
 		},
 	} {
@@ -56,13 +56,13 @@
 	}
 	for cut := range text {
 		os.WriteFile(s.path, text[:cut], 0o600)
-		if m, _, err := s.Take(now); err == nil || m != nil {
+		if m, _, err := s.Load(now); err == nil || m != nil {
 			t.Fatalf("cut at %d of %d: taken", cut, len(text))
 		}
 		broken := []byte(string(text))
 		broken[cut] ^= 4
 		os.WriteFile(s.path, broken, 0o600)
-		if _, _, err := s.Take(now); err == nil {
+		if _, _, err := s.Load(now); err == nil {
 			t.Fatalf("byte %d of %d changed: taken", cut, len(text))
 		}
 	}
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -31,24 +31,24 @@
 	longestMemory = 4 << 20 // of one with what was learned
 )
 
-// Word is what operators said.
-type Word struct {
-	Out  []string `json:"out"`  // caches, by id
-	Away bool     `json:"away"` // clients are sent away
+// Overrides is what operators said.
+type Overrides struct {
+	CachesOut  []string `json:"out"`  // caches, by id
+	DrainClients bool     `json:"away"` // clients are sent away
 
-	Sites map[string]Site      `json:"sites,omitempty"` // by name: the last word on each
-	Back  map[string]time.Time `json:"back,omitempty"`  // caches that were out, and when they were called back
+	Sites map[string]SiteOverride      `json:"sites,omitempty"` // by name: the last word on each
+	ReturnedAt  map[string]time.Time `json:"back,omitempty"`  // caches that were out, and when they were called back
 }
 
-// Site is what operators said of a whole site: its caches go out, or come back, one after another over a span.
-type Site struct {
+// SiteOverride is what operators said of a whole site: its caches go out, or come back, one after another over a span.
+type SiteOverride struct {
 	Out  bool          `json:"out"`
 	At   time.Time     `json:"at"`
 	Over time.Duration `json:"over"` // nanoseconds
 }
 
-// LongestOver is how long a site may take to go or come.
-const LongestOver = time.Hour
+// MaxSiteDuration is how long a site may take to go or come.
+const MaxSiteDuration = time.Hour
 
 // mostSites is how many words on sites are kept.
 const mostSites = 64
@@ -84,25 +84,25 @@
 }
 
 // Read gives the word. None was ever said: the empty word. An error means that what stands there is not to be used.
-func (s *Store) Read() (Word, error) {
+func (s *Store) Read() (Overrides, error) {
 	s.seen = s.stamp()
 	return s.Peek()
 }
 
 // Peek gives the word as Read does, and leaves it for Changed to tell of.
-func (s *Store) Peek() (Word, error) {
-	var w Word
+func (s *Store) Peek() (Overrides, error) {
+	var w Overrides
 	if err := read(s.path, s.proxy, longest, &w); errors.Is(err, fs.ErrNotExist) {
-		return Word{}, nil
+		return Overrides{}, nil
 	} else if err != nil {
-		return Word{}, err
+		return Overrides{}, err
 	}
-	if len(w.Out) > mostOut {
-		return Word{}, fmt.Errorf("state: word.out: %d caches, at most %d", len(w.Out), mostOut)
+	if len(w.CachesOut) > mostOut {
+		return Overrides{}, fmt.Errorf("state: word.out: %d caches, at most %d", len(w.CachesOut), mostOut)
 	}
 	for name, site := range w.Sites {
-		if len(w.Sites) > mostSites || site.Over < 0 || site.Over > LongestOver {
-			return Word{}, fmt.Errorf("state: word.sites: %d of them, %q over %v", len(w.Sites), name, site.Over)
+		if len(w.Sites) > mostSites || site.Over < 0 || site.Over > MaxSiteDuration {
+			return Overrides{}, fmt.Errorf("state: word.sites: %d of them, %q over %v", len(w.Sites), name, site.Over)
 		}
 	}
 	return w, nil
@@ -146,8 +146,8 @@
 	return nil
 }
 
-// Change reads the word, has it changed and writes it, all under a lock. What can't be used is replaced.
-func (s *Store) Change(do func(*Word)) error {
+// Update reads the word, has it changed and writes it, all under a lock. What can't be used is replaced.
+func (s *Store) Update(do func(*Overrides)) error {
 	lock, err := os.OpenFile(s.path+".lock", os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
 		return err
@@ -158,13 +158,13 @@
 	}
 	w, _ := s.Read()
 	do(&w)
-	slices.Sort(w.Out)
-	maps.DeleteFunc(w.Back, func(_ string, at time.Time) bool { return time.Since(at) > backFor })
-	maps.DeleteFunc(w.Sites, func(_ string, s Site) bool { return !s.Out && time.Since(s.At) > s.Over+backFor })
+	slices.Sort(w.CachesOut)
+	maps.DeleteFunc(w.ReturnedAt, func(_ string, at time.Time) bool { return time.Since(at) > backFor })
+	maps.DeleteFunc(w.Sites, func(_ string, s SiteOverride) bool { return !s.Out && time.Since(s.At) > s.Over+backFor })
 	if len(w.Sites) > mostSites {
 		return fmt.Errorf("more than %d sites", mostSites)
 	}
-	if w.Out = slices.Compact(w.Out); len(w.Out) > mostOut {
+	if w.CachesOut = slices.Compact(w.CachesOut); len(w.CachesOut) > mostOut {
 		return fmt.Errorf("more than %d caches out", mostOut)
 	}
 	return write(s.path, s.proxy, w)
@@ -182,8 +182,8 @@
 	return renameio.WriteFile(path, text, 0o600)
 }
 
-// Hand is what one process hands over to the next, once.
-type Hand struct {
+// Handover is what one process hands over to the next, once.
+type Handover struct {
 	At       time.Time   `json:"at"`
 	Settings string      `json:"settings"` // that it was learned under, in short
 	Memory   warm.Memory `json:"memory"`
@@ -191,14 +191,14 @@
 
 const fresh = 2 * time.Second // what is older says little of the present
 
-// Give writes what is handed over.
-func (s *Store) Give(h Hand) error { return write(s.path+".hand", s.proxy, h) }
+// WriteHandover writes what is handed over.
+func (s *Store) WriteHandover(h Handover) error { return write(s.path+".hand", s.proxy, h) }
 
-// Clear takes off what was handed over to nobody.
-func (s *Store) Clear() { os.Remove(s.path + ".hand") }
+// RemoveHandover takes off what was handed over to nobody.
+func (s *Store) RemoveHandover() { os.Remove(s.path + ".hand") }
 
-// Given waits for what is handed over, and takes it off. Without it the process begins with nothing.
-func (s *Store) Given(span time.Duration) (h Hand, err error) {
+// AwaitHandover waits for what is handed over, and takes it off. Without it the process begins with nothing.
+func (s *Store) AwaitHandover(span time.Duration) (h Handover, err error) {
 	path := s.path + ".hand"
 	err = read(path, s.proxy, longestMemory, &h)
 	for late := time.Now().Add(span); errors.Is(err, fs.ErrNotExist) && time.Now().Before(late); {
@@ -213,10 +213,10 @@
 		err = h.Memory.Check()
 	}
 	if err != nil {
-		return Hand{}, err
+		return Handover{}, err
 	}
 	if age := time.Since(h.At); age < -fresh || age > fresh {
-		return Hand{}, fmt.Errorf("state: handed over %v ago", age)
+		return Handover{}, fmt.Errorf("state: handed over %v ago", age)
 	}
 	return h, nil
 }
@@ -238,13 +238,13 @@
 
 // Roles of which at most one process has each.
 const (
-	Serves = "serves" // has been here the longest
-	Next   = "next"   // waits for that
+	RoleActive = "serves" // has been here the longest
+	RoleStandby   = "next"   // waits for that
 )
 
-// Take takes a role, until this process lets go of it or dies; false: another has it. Where locks can't be had it is
+// AcquireRole takes a role, until this process lets go of it or dies; false: another has it. Where locks can't be had it is
 // nobody's, and each process goes on alone.
-func (s *Store) Take(role string) bool {
+func (s *Store) AcquireRole(role string) bool {
 	if s.locks[role] != nil {
 		return true
 	}
@@ -260,22 +260,22 @@
 	return true
 }
 
-// Leave lets go of a role.
-func (s *Store) Leave(role string) {
+// ReleaseRole lets go of a role.
+func (s *Store) ReleaseRole(role string) {
 	if f := s.locks[role]; f != nil {
 		f.Close()
 		delete(s.locks, role)
 	}
 }
 
-// Other tells whether another process has a role.
-func (s *Store) Other(role string) bool {
+// RoleHeldByOther tells whether another process has a role.
+func (s *Store) RoleHeldByOther(role string) bool {
 	if s.locks[role] != nil {
 		return false
 	}
-	if !s.Take(role) {
+	if !s.AcquireRole(role) {
 		return true
 	}
-	s.Leave(role)
+	s.ReleaseRole(role)
 	return false
 }
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -15,10 +15,10 @@
 func TestWordOutlivesItsProcess(t *testing.T) {
 	dir := t.TempDir()
 	a, b := Open(dir, "n1", "127.0.0.1:1"), Open(dir, "n1", "127.0.0.1:1")
-	if w, err := a.Read(); err != nil || len(w.Out) > 0 || w.Away || a.Changed() {
+	if w, err := a.Read(); err != nil || len(w.CachesOut) > 0 || w.DrainClients || a.Changed() {
 		t.Errorf("%+v %v", w, err)
 	}
-	if err := b.Change(func(w *Word) { w.Out, w.Away = append(w.Out, "s-2", "s-1", "s-2"), true }); err != nil {
+	if err := b.Update(func(w *Overrides) { w.CachesOut, w.DrainClients = append(w.CachesOut, "s-2", "s-1", "s-2"), true }); err != nil {
 		t.Fatal(err)
 	}
 	if !a.Changed() {
@@ -27,7 +27,7 @@
 	if w, err := a.Read(); err != nil || fmt.Sprint(w) != "{[s-1 s-2] true map[] map[]}" || a.Changed() {
 		t.Errorf("%+v %v", w, err)
 	}
-	if w, _ := Open(dir, "n1", "127.0.0.1:2").Read(); len(w.Out) > 0 {
+	if w, _ := Open(dir, "n1", "127.0.0.1:2").Read(); len(w.CachesOut) > 0 {
 		t.Error("another proxy's word")
 	}
 	var all sync.WaitGroup
@@ -35,13 +35,13 @@
 		all.Add(1)
 		go func() {
 			defer all.Done()
-			if err := Open(dir, "n1", "127.0.0.1:1").Change(func(w *Word) { w.Out = append(w.Out, fmt.Sprint("t-", i)) }); err != nil {
+			if err := Open(dir, "n1", "127.0.0.1:1").Update(func(w *Overrides) { w.CachesOut = append(w.CachesOut, fmt.Sprint("t-", i)) }); err != nil {
 				t.Error(err)
 			}
 		}()
 	}
 	all.Wait()
-	if w, err := a.Read(); err != nil || len(w.Out) != 22 {
+	if w, err := a.Read(); err != nil || len(w.CachesOut) != 22 {
 		t.Errorf("%+v %v", w, err)
 	}
 }
@@ -50,7 +50,7 @@
 func TestWhatCannotBeUsedIsPassedOver(t *testing.T) {
 	dir := t.TempDir()
 	s := Open(dir, "n1", "a")
-	if err := s.Change(func(w *Word) { w.Out = []string{"s-1"} }); err != nil {
+	if err := s.Update(func(w *Overrides) { w.CachesOut = []string{"s-1"} }); err != nil {
 		t.Fatal(err)
 	}
 	good, err := os.ReadFile(s.path)
@@ -68,14 +68,14 @@
 		if err := os.WriteFile(s.path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if w, err := s.Read(); err == nil || len(w.Out) > 0 {
+		if w, err := s.Read(); err == nil || len(w.CachesOut) > 0 {
 			t.Errorf("%s: %+v %v", name, w, err)
 		}
 	}
-	if err := s.Change(func(w *Word) { w.Out = append(w.Out, "s-9") }); err != nil {
+	if err := s.Update(func(w *Overrides) { w.CachesOut = append(w.CachesOut, "s-9") }); err != nil {
 		t.Fatal(err)
 	}
-	if w, err := s.Read(); err != nil || fmt.Sprint(w.Out) != "[s-9]" {
+	if w, err := s.Read(); err != nil || fmt.Sprint(w.CachesOut) != "[s-9]" {
 		t.Errorf("%+v %v", w, err)
 	}
 }
@@ -83,17 +83,17 @@
 func TestRoles(t *testing.T) {
 	dir := t.TempDir()
 	old, next, third := Open(dir, "n1", "a"), Open(dir, "n1", "a"), Open(dir, "n1", "a")
-	if !old.Take(Serves) || old.Other(Serves) || old.Other(Next) {
+	if !old.AcquireRole(RoleActive) || old.RoleHeldByOther(RoleActive) || old.RoleHeldByOther(RoleStandby) {
 		t.Error("alone, and not so")
 	}
-	if next.Take(Serves) || !next.Take(Next) || !old.Other(Next) || !next.Other(Serves) || third.Take(Next) {
+	if next.AcquireRole(RoleActive) || !next.AcquireRole(RoleStandby) || !old.RoleHeldByOther(RoleStandby) || !next.RoleHeldByOther(RoleActive) || third.AcquireRole(RoleStandby) {
 		t.Error("two processes, and one has not seen it")
 	}
-	old.Leave(Serves)
-	if !next.Take(Serves) {
+	old.ReleaseRole(RoleActive)
+	if !next.AcquireRole(RoleActive) {
 		t.Error("the old one has gone, and its role is not free")
 	}
-	if next.Leave(Next); !third.Take(Next) || !next.Other(Next) {
+	if next.ReleaseRole(RoleStandby); !third.AcquireRole(RoleStandby) || !next.RoleHeldByOther(RoleStandby) {
 		t.Error("a second upgrade in a row")
 	}
 }
@@ -106,33 +106,33 @@
 func TestHand(t *testing.T) {
 	dir := t.TempDir()
 	old, next := Open(dir, "n1", "a"), Open(dir, "n1", "a")
-	if _, err := next.Given(10 * time.Millisecond); err == nil {
+	if _, err := next.AwaitHandover(10 * time.Millisecond); err == nil {
 		t.Error("given by nobody")
 	}
 	give := func(at time.Time) {
-		if err := old.Give(Hand{At: at, Memory: learned}); err != nil {
+		if err := old.WriteHandover(Handover{At: at, Memory: learned}); err != nil {
 			t.Fatal(err)
 		}
 	}
 	time.AfterFunc(20*time.Millisecond, func() { give(time.Now()) })
-	h, err := next.Given(10 * time.Second)
+	h, err := next.AwaitHandover(10 * time.Second)
 	if r := h.Memory.Caches[7].Of; err != nil || r.Sent.Sum() != 4 || r.Limit != 2.5 {
 		t.Errorf("%+v %v", h, err)
 	}
-	if _, err := next.Given(10 * time.Millisecond); err == nil {
+	if _, err := next.AwaitHandover(10 * time.Millisecond); err == nil {
 		t.Error("given twice")
 	}
 	for _, at := range []time.Time{time.Now().Add(-time.Hour), time.Now().Add(time.Hour)} {
 		give(at)
-		if h, err := next.Given(10 * time.Millisecond); err == nil || len(h.Memory.Caches) > 0 {
+		if h, err := next.AwaitHandover(10 * time.Millisecond); err == nil || len(h.Memory.Caches) > 0 {
 			t.Errorf("of %v, and taken", at)
 		}
 	}
 	give(time.Now())
-	if next.Clear(); next.path != old.path {
+	if next.RemoveHandover(); next.path != old.path {
 		t.Error("two paths")
 	}
-	if _, err := next.Given(10 * time.Millisecond); err == nil {
+	if _, err := next.AwaitHandover(10 * time.Millisecond); err == nil {
 		t.Error("what was given to another is taken")
 	}
 }
@@ -141,24 +141,24 @@
 func TestWordsOnSites(t *testing.T) {
 	dir := t.TempDir()
 	s, ago := Open(dir, "n1", "127.0.0.1:1"), time.Now().Add(-backFor-2*time.Second)
-	put := func(name string, w Site) {
-		if err := s.Change(func(all *Word) {
+	put := func(name string, w SiteOverride) {
+		if err := s.Update(func(all *Overrides) {
 			if all.Sites == nil {
-				all.Sites = map[string]Site{}
+				all.Sites = map[string]SiteOverride{}
 			}
 			all.Sites[name] = w
 		}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	put("out", Site{Out: true, At: ago, Over: time.Second})
-	put("back", Site{At: time.Now(), Over: time.Second})
-	put("long ago", Site{At: ago, Over: time.Second})
+	put("out", SiteOverride{Out: true, At: ago, Over: time.Second})
+	put("back", SiteOverride{At: time.Now(), Over: time.Second})
+	put("long ago", SiteOverride{At: ago, Over: time.Second})
 	w, err := s.Read()
 	if err != nil || len(w.Sites) != 2 || !w.Sites["out"].Out || w.Sites["back"].Over != time.Second {
 		t.Errorf("%+v %v", w, err)
 	}
-	put("long", Site{Out: true, Over: 2 * LongestOver})
+	put("long", SiteOverride{Out: true, Over: 2 * MaxSiteDuration})
 	if w, err := s.Read(); err == nil || len(w.Sites) > 0 {
 		t.Errorf("%+v %v", w, err)
 	}
--- a/lab/baseline/baseline.go
+++ b/lab/baseline/baseline.go
@@ -205,7 +205,7 @@
 		s.out--
 	}
 	o.out = nil
-	o.ran = o.ran || !how.NeverRan()
+	o.ran = o.ran || !how.NotExecuted()
 	switch {
 	case terminal || o.over || how == policy.Acked:
 		delete(r.ops, id)
--- a/lab/baseline/baseline_test.go
+++ b/lab/baseline/baseline_test.go
@@ -20,10 +20,10 @@
 func (h *host) Nack(op uint32, _ policy.Time)     { h.say("nack %d", op) }
 func (h *host) DeadLetter(op uint32)              { h.say("dead %d", op) }
 func (h *host) Timer(uint64, policy.Time)         {}
-func (h *host) Tell([]byte)                       {}
+func (h *host) SendToPeers([]byte)                       {}
 func (h *host) Probe(uint32)                      {}
 func (h *host) Watch(bool)                        {}
-func (h *host) Close(uint32)                      {}
+func (h *host) CloseIdle(uint32)                      {}
 func (h *host) Log(string)                        {}
 
 // Plain as they are, rules keep the four rules; what they are compared by would else prove nothing.
@@ -35,11 +35,11 @@
 			want   string
 		}{
 			{policy.Redeliverable, []policy.Outcome{policy.Acked}, "[push 1]"},
-			{policy.Redeliverable, []policy.Outcome{policy.Broken, policy.Acked}, "[push 1 push 1]"},
-			{policy.Redeliverable, []policy.Outcome{policy.Broken, policy.Errored}, "[push 1 push 1 nack 1]"},
+			{policy.Redeliverable, []policy.Outcome{policy.ConnectionLost, policy.Acked}, "[push 1 push 1]"},
+			{policy.Redeliverable, []policy.Outcome{policy.ConnectionLost, policy.Errored}, "[push 1 push 1 nack 1]"},
 			{policy.Redeliverable, []policy.Outcome{policy.Miss, policy.Errored}, "[push 1 push 1 nack 1]"},
-			{policy.AtMostOnce, []policy.Outcome{policy.Broken}, "[push 1 dead 1]"},
-			{policy.AtMostOnce, []policy.Outcome{policy.Full, policy.Full}, "[push 1 push 1 nack 1]"},
+			{policy.AtMostOnce, []policy.Outcome{policy.ConnectionLost}, "[push 1 dead 1]"},
+			{policy.AtMostOnce, []policy.Outcome{policy.Rejected, policy.Rejected}, "[push 1 push 1 nack 1]"},
 			{policy.Deduplicated, []policy.Outcome{policy.TimedOut}, "[push 1 nack 1]"},
 		} {
 			h := &host{now: 1000}
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -364,7 +364,7 @@
 			in := min(int(clock.now/10000), 29)
 			sent[in]++
 			if free[cache] > clock.now+room*takes {
-				return 10, Full
+				return 10, Rejected
 			}
 			free[cache] = max(free[cache], clock.now) + takes
 			if wait := free[cache] - clock.now; wait < until-clock.now {
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -208,13 +208,13 @@
 		if e.Start > c.Start {
 			c.restUntil, c.rest, c.Bad, c.doubt = 0, 0, 0, fleet.Doubt[Time]{} // a new process: not its failures
 		}
-		if e.Start = max(e.Start, c.Start); c.Out && !e.Out {
+		if e.Start = max(e.Start, c.Start); c.Excluded && !e.Excluded {
 			e.Start = b.host.Now() // operators restart what they take out, and the list need not tell
 		}
 		b.zones[e.Zone] = cmp.Or(b.zones[e.Zone], &zone{})
 		b.speeds[e.Kind] = cmp.Or(b.speeds[e.Kind], &evidence.Speed{})
 		if c.Entry, c.listed = e, e.State != Gone; !c.listed {
-			b.host.Close(e.ID)
+			b.host.CloseIdle(e.ID)
 		}
 	}
 	b.ranked.Reset(0)
@@ -311,7 +311,7 @@
 		chance = b.all.span.By(b.ticks(o.aim - now))
 	}
 	if o.lane *= min(2*chance, 1); over {
-		o.lane, b.Counts.OverBudget = o.lane/2, b.Counts.OverBudget+1
+		o.lane, b.Counts.RetriesOverBudget = o.lane/2, b.Counts.RetriesOverBudget+1
 	}
 	if key == 0 {
 		o.key = uint64(b.rnd.Next())<<32 | uint64(b.rnd.Next())
@@ -319,7 +319,7 @@
 	// With room at the origin for a copy more a key is hot in doubt, but of many proxies each sees too little.
 	o.heat = b.hot.Asked(o.key, b.origin != nil && b.origin.Limit >= 0.5 && b.Proxies <= firstLimit)
 	if o.aim <= now || chance < leastChance {
-		b.Counts.Hopeless++
+		b.Counts.DeadlineTooShort++
 		b.giveUp(o, NoChance)
 	} else if over && b.strain > calm {
 		b.giveUp(o, PastBudget)
@@ -427,7 +427,7 @@
 
 // elsewhere asks a copy in another zone before an op is given up for want of an origin beyond a slow way, or
 // one not heard of. An origin that is short is no reason: what missed here mostly misses there.
-func (b *Balancer) elsewhere(o *op, why Why) {
+func (b *Balancer) elsewhere(o *op, why GiveUpReason) {
 	now, z := b.host.Now(), b.zones[b.origin.Zone]
 	if b.near && !o.write && o.n > 0 && o.n < o.pushes && (b.way(b.origin) > 0 || now > z.At+4*b.shortest) {
 		if c := b.route(o); c != nil && !b.far(o, c, now) {
@@ -527,7 +527,7 @@
 	p := o.out[i]
 	c, blamed := p.to, p.to
 	o.out = slices.Delete(o.out, i, i+1)
-	if !how.NeverRan() && (o.ran == nil || p.at < o.ran.at) {
+	if !how.NotExecuted() && (o.ran == nil || p.at < o.ran.at) {
 		o.ran = &p
 	}
 	if b.inFlight(c, -1); p.fetches {
@@ -562,17 +562,17 @@
 	}
 	if c != b.origin && (how == ConnectFailed || how == TimedOut && ill >= 0.5) {
 		b.sites.Silent(c.Zone, now, 4*b.shortest)
-	} else if c != b.origin && how != TimedOut && how != Cancelled && how != Moot {
+	} else if c != b.origin && how != TimedOut && how != Cancelled && how != NotSent {
 		b.sites.Heard(c.Zone, now)
 	}
-	if c != b.origin && (how == ConnectFailed || how != Broken && ill >= 0.25) {
+	if c != b.origin && (how == ConnectFailed || how != ConnectionLost && ill >= 0.25) {
 		b.suspect(c)
 		// Danger: each of hundreds of proxies finds a bad or crowded cache out by itself, for an op each. Only its
 		// own zone gives word, and not of connections: the way, or making new ones, may be at fault.
 		if b.Peers && how == TimedOut && c.Zone == b.Zone && b.rnd.Share()*b.copies < leastChance {
 			word := binary.LittleEndian.AppendUint64(nil, uint64(c.ID))
-			b.host.Tell(word)
-			b.PeerSaid(word)
+			b.host.SendToPeers(word)
+			b.PeerMessageReceived(word)
 		}
 	} else if how == Acked && !c.slow {
 		c.doubt.End()
@@ -652,9 +652,9 @@
 	}
 	span, target := b.ticks(taken), b.ticks(o.cat.Target)
 	switch {
-	case how == Full || how == Errored && (missed || p.to.shared):
+	case how == Rejected || how == Errored && (missed || p.to.shared):
 		return 1, 0
-	case how == Broken:
+	case how == ConnectionLost:
 		return 0, 1
 	case how == Errored:
 		return evidence.Unanswered(usual, span, target), 1
@@ -667,10 +667,10 @@
 	}
 	if p.cut { // it was given up when it was as likely to be slow as to be lost
 		ill /= 2
-		b.Counts.CutShort++
+		b.Counts.ShortenedPushes++
 	}
 	if load < 0.5 {
-		b.Counts.Censored++
+		b.Counts.InconclusiveTimeouts++
 	}
 	return load, ill
 }
@@ -700,9 +700,9 @@
 			}
 			c.Limit += min(1/c.Limit, grow)
 		}
-	case Full:
+	case Rejected:
 		b.cut(c, now, 0.8)
-	case TimedOut, Errored, Broken:
+	case TimedOut, Errored, ConnectionLost:
 		if c == b.origin && load > 0 { // work that nobody waits for jams it: each failure in a row cuts deeper
 			b.cut(c, now, 1-(1-0.7*b.row)*load)
 			b.row *= 1 - load/2
@@ -735,8 +735,8 @@
 	}
 }
 
-// PeerSaid takes keys that are kept, as a new proxy would fear a fetch for most, and ids of failing caches.
-func (b *Balancer) PeerSaid(news []byte) {
+// PeerMessageReceived takes keys that are kept, as a new proxy would fear a fetch for most, and ids of failing caches.
+func (b *Balancer) PeerMessageReceived(news []byte) {
 	for ; len(news) >= 8; news = news[8:] {
 		key := binary.LittleEndian.Uint64(news) // up to 32 bits: a cache's id
 		if c := b.caches.Get(uint32(key)); c != nil && key <= math.MaxUint32 {
@@ -764,8 +764,8 @@
 }
 
 // giveUp answers at once: a nack where a retry is surely safe, else a dead letter.
-func (b *Balancer) giveUp(o *op, why Why) {
-	b.Counts.GaveUp[why]++
+func (b *Balancer) giveUp(o *op, why GiveUpReason) {
+	b.Counts.GivenUp[why]++
 	if o.cat.Effect == Redeliverable || len(o.out) == 0 && (o.ran == nil ||
 		o.cat.Effect == Deduplicated && o.cat.Group == GroupAll) {
 		back := b.between(o.cat.Target/8, o.cat.Target/4)
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -79,8 +79,8 @@
 func (w *world) DeadLetter(op uint32)           { w.say("dead", op) }
 func (w *world) Timer(token uint64, after Time) { w.after(after, func() { w.b.TimerDue(token) }) }
 func (w *world) Probe(cache uint32)             { w.say("probe", cache) }
-func (w *world) Tell(news []byte)               { w.say("tell", len(news)) }
-func (w *world) Close(cache uint32)             { w.counts["close"]++ }
+func (w *world) SendToPeers(news []byte)               { w.say("tell", len(news)) }
+func (w *world) CloseIdle(cache uint32)             { w.counts["close"]++ }
 func (w *world) Log(text string)                {}
 func (w *world) Watch(on bool)                  { w.say("watch", on) }
 
@@ -103,8 +103,8 @@
 	}
 }
 
-var outcomes = map[string]Outcome{"acked": Acked, "error": Errored, "unfetched": Errored, "full": Full, "timeout": TimedOut,
-	"unconnected": ConnectFailed, "broken": Broken, "cancelled": Cancelled, "moot": Moot, "miss": Miss}
+var outcomes = map[string]Outcome{"acked": Acked, "error": Errored, "unfetched": Errored, "full": Rejected, "timeout": TimedOut,
+	"unconnected": ConnectFailed, "broken": ConnectionLost, "cancelled": Cancelled, "moot": NotSent, "miss": Miss}
 var lists = map[string]ListKind{"full": ListFull, "delta": ListDelta, "cached": ListCached, "failed": ListFailed}
 
 func number(t *testing.T, s string) float64 {
@@ -133,7 +133,7 @@
 	id, state, _ := strings.Cut(parts[0], ":")
 	o := options(t, parts[1:])
 	e := Entry{ID: uint32(number(t, id)), Zone: int(o["zone"]), Kind: int(o["kind"]), Cell: int(o["cell"]), Weight: cmp.Or(o["weight"], 1),
-		Start: Time(10 * o["start"]), Out: o["out"] > 0}
+		Start: Time(10 * o["start"]), Excluded: o["out"] > 0}
 	e.State = map[string]State{"draining": Draining, "gone": Gone}[state]
 	if state == "origin" {
 		e.Kind = 1
@@ -245,7 +245,7 @@
 		w.auto[cmp.Or(w.names[rest[0]], rest[0])] = answer{rest[1], Time(10 * number(t, rest[2])),
 			int(options(t, rest[3:])["lose"]), new(int)}
 	case "peer":
-		w.b.PeerSaid(binary.LittleEndian.AppendUint64(nil, uint64(number(t, cmp.Or(w.names[rest[0]], rest[0])))))
+		w.b.PeerMessageReceived(binary.LittleEndian.AppendUint64(nil, uint64(number(t, cmp.Or(w.names[rest[0]], rest[0])))))
 	case "handback":
 		w.b.HandBack(uint32(number(t, rest[0])))
 	case "leaves":
--- a/policy/route.go
+++ b/policy/route.go
@@ -7,7 +7,7 @@
 
 // allowed tells whether the rules and the cache's state let this op go there now.
 func (b *Balancer) allowed(o *op, c *cache, now Time) bool {
-	if !c.listed || c.State != Ready || c.Out || slices.Contains(o.tried, c) {
+	if !c.listed || c.State != Ready || c.Excluded || slices.Contains(o.tried, c) {
 		return false
 	}
 	if c != b.origin && (now < c.restUntil || !b.slowStartRoom(c, now) || c.by.StandOut(&b.all.by, o.cat)) {
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -14,7 +14,7 @@
 
 // counted tells whether a cache's capacity and answers are part of the sums. Danger: with those counted in that get nothing, less is let
 // in than the others answer, of which less is answered, until hardly anything is let in at all.
-func (c *cache) counted() bool { return c.ranked && !c.Out && c.State == Ready }
+func (c *cache) counted() bool { return c.ranked && !c.Excluded && c.State == Ready }
 
 // resetSums makes the sums over all caches anew: as the list changes, and with each quarter of the slow-start window. No request, answer, report
 // or probe does so.
--- a/policy/stream_test.go
+++ b/policy/stream_test.go
@@ -116,7 +116,7 @@
 	case x < s.fleet.cold+s.fleet.draining:
 		e.State = Draining
 	case x < s.fleet.cold+s.fleet.draining+s.fleet.out:
-		e.Out = true
+		e.Excluded = true
 	}
 	return e
 }
@@ -205,9 +205,9 @@
 	case x < 0.3:
 		how = Miss
 	case x < 0.32:
-		how = Full
+		how = Rejected
 	case x < 0.33:
-		how = Broken
+		how = ConnectionLost
 	}
 	s.after(taken, func() {
 		kind := "answer"
@@ -238,9 +238,9 @@
 		s.around("probe", func() { s.module.Probed(cache, true, float64(s.rnd.IntN(4)), 100) })
 	})
 }
-func (s *stream) Tell(news []byte)   {}
+func (s *stream) SendToPeers(news []byte)   {}
 func (s *stream) Watch(on bool)      {}
-func (s *stream) Close(cache uint32) { s.note("close %d;", cache) }
+func (s *stream) CloseIdle(cache uint32) { s.note("close %d;", cache) }
 func (s *stream) Log(text string)    {}
 
 // fleetStates are the states that a fleet of any size is tried in.
--- a/policy/tick.go
+++ b/policy/tick.go
@@ -16,7 +16,7 @@
 	// Danger: hundreds of proxies fill the caches' tables with connections that mostly end unused all the same.
 	idle := b.HandshakePrice / b.ConnPrice * 100 / float64(b.Proxies)    // in usual spans between pushes there
 	idle *= min(math.Floor(2*idle), 1) * float64(b.ranked.Len()) * b.gap // none, if they end before half of one
-	b.Counts.Listed = b.ranked.Len()
+	b.Counts.ListedCaches = b.ranked.Len()
 	b.lookAfter(now, fade, idle)
 	if now > b.failed+4*b.target {
 		b.strain -= b.strain * fade
@@ -44,17 +44,17 @@
 	fade *= float64(turns)
 	for i := from; i < to; i++ {
 		c := b.ranked.At(i)
-		if c.shun -= c.shun * min(fade, 1); c.Out || now < c.restUntil {
+		if c.shun -= c.shun * min(fade, 1); c.Excluded || now < c.restUntil {
 			b.avoided++
 		}
 		if c.open && c.out == 0 && float64(now-c.sentAt) > idle { // without prices idle is no number, and nothing is closed
 			c.open = false
-			b.host.Close(c.ID)
+			b.host.CloseIdle(c.ID)
 		}
 		b.giveBack(c, now, fade)
 	}
 	if to == n {
-		b.Counts.Avoided = b.avoided
+		b.Counts.ExcludedCaches = b.avoided
 	}
 }
 
@@ -68,7 +68,7 @@
 // roll lets a quarter of the cold window pass; no map's order matters here.
 func (b *Balancer) roll(now Time) {
 	if b.rolled = now; b.Peers && len(b.news) > 0 {
-		b.host.Tell(b.news)
+		b.host.SendToPeers(b.news)
 		b.news = nil
 	}
 	if b.turn%quarters == 0 {
--- a/policy/types.go
+++ b/policy/types.go
@@ -24,18 +24,18 @@
 const (
 	Acked Outcome = iota
 	Errored
-	Full // turned away unseen
+	Rejected // turned away unseen
 	TimedOut
 	ConnectFailed
-	Broken
+	ConnectionLost
 	Cancelled
-	Moot // never sent
+	NotSent // never sent
 	Miss // nothing is stored there under the key
 )
 
-// NeverRan tells whether the outcome proves that the push had no effect.
-func (o Outcome) NeverRan() bool {
-	return o == Full || o == ConnectFailed || o == Moot || o == Miss
+// NotExecuted tells whether the outcome proves that the push had no effect.
+func (o Outcome) NotExecuted() bool {
+	return o == Rejected || o == ConnectFailed || o == NotSent || o == Miss
 }
 
 type ListKind uint8
@@ -63,7 +63,7 @@
 	State      State
 	Weight     float64 // above 0
 	Start      Time    // 0: long ago
-	Out        bool    // by an operator's word; whoever returns from that is cold
+	Excluded        bool    // by an operator's word; whoever returns from that is cold
 }
 
 type Category struct {
@@ -109,11 +109,11 @@
 	Probing        bool    // caches tell what waits there, and only when probed
 }
 
-// Why is the reason for which an op was given up.
-type Why uint8
+// GiveUpReason is the reason for which an op was given up.
+type GiveUpReason uint8
 
 const (
-	NoChance     Why = iota // hardly any answer comes within its wait
+	NoChance     GiveUpReason = iota // hardly any answer comes within its wait
 	PastBudget              // a try that came again, past its tenant's budget under strain
 	NoCache                 // none is listed, allowed and ready
 	NoRoom                  // the learned limit of its cache is full
@@ -128,17 +128,17 @@
 var whyNames = [reasons]string{"no_chance", "past_budget", "no_cache", "no_room", "origin_short", "too_late",
 	"no_more_pushes", "fleet_short", "ending"}
 
-func (w Why) String() string { return whyNames[w] }
+func (w GiveUpReason) String() string { return whyNames[w] }
 
 // Counts is what the module has judged since its start.
 type Counts struct {
-	Censored   int // time-outs that prove little: most answers take longer, or this one got lost
-	OverBudget int // tries that came again past their tenant's budget
-	Hopeless   int // ops nacked at once, as hardly any answer comes within their wait
-	CutShort   int // pushes given up early, for another cache
-	Listed     int // caches in the list, now
-	Avoided    int // and those of them that are out by an operator's word, or rest
-	GaveUp     [reasons]int
+	InconclusiveTimeouts   int // time-outs that prove little: most answers take longer, or this one got lost
+	RetriesOverBudget int // tries that came again past their tenant's budget
+	DeadlineTooShort   int // ops nacked at once, as hardly any answer comes within their wait
+	ShortenedPushes   int // pushes given up early, for another cache
+	ListedCaches     int // caches in the list, now
+	ExcludedCaches    int // and those of them that are out by an operator's word, or rest
+	GivenUp     [reasons]int
 }
 
 // Host is how the module acts. Calls take effect in the order made.
@@ -150,8 +150,8 @@
 	DeadLetter(op uint32)
 	Timer(token uint64, after Time)
 	Probe(cache uint32)
-	Tell(news []byte) // to all peers, 256 bytes at most
+	SendToPeers(news []byte) // to all peers, 256 bytes at most
 	Watch(on bool)
-	Close(cache uint32) // idle connections to it
+	CloseIdle(cache uint32) // idle connections to it
 	Log(text string)
 }
