--- a/decide/chance/chance.go
+++ b/decide/chance/chance.go
@@ -13,8 +13,8 @@
 	return bits.RotateLeft32(uint32((old>>18^old)>>27), -int(old>>59))
 }
 
-// Share draws from 0 up to 1, without 1.
-func (p *PCG) Share() float64 { return float64(p.Next()) / (1 << 32) }
+// Float64 draws from 0 up to 1, without 1.
+func (p *PCG) Float64() float64 { return float64(p.Next()) / (1 << 32) }
 
 // Between draws a span from lo to hi; one that ends before it begins gives its begin.
 func Between[T ~int64](p *PCG, lo, hi T) T { return lo + T(uint64(p.Next())*uint64(max(hi-lo, 0))>>32) }
--- a/decide/chance/chance_test.go
+++ b/decide/chance/chance_test.go
@@ -13,7 +13,7 @@
 			t.Fatal("a span that ends before it begins")
 		}
 		b.Next()
-		sum += a.Share()
+		sum += a.Float64()
 		b.Next()
 	}
 	if sum < 450 || sum > 550 {
--- a/decide/circle/circle.go
+++ b/decide/circle/circle.go
@@ -43,8 +43,8 @@
 	return ((c.s0+x)<<q + i) >> (bits.TrailingZeros(uint(i)) + 1)
 }
 
-// At is the bucket of a key's arc, with a salt.
-func (c Circle) At(key, salt uint64) int {
+// BucketFor is the bucket of a key's arc, with a salt.
+func (c Circle) BucketFor(key, salt uint64) int {
 	arc, _ := bits.Mul64(Mix(key, salt), uint64(c.m))
 	return c.Bucket(int(arc))
 }
@@ -56,8 +56,8 @@
 	return uint32(h.Sum64() ^ h.Sum64()>>32)
 }
 
-// Seat is the first free one of m seats that an id hashes to; one must be free.
-func Seat(id uint64, m int, free func(seat int) bool) int {
+// AssignBucket is the first free one of m seats that an id hashes to; one must be free.
+func AssignBucket(id uint64, m int, free func(seat int) bool) int {
 	for salt := uint64(0); ; salt++ {
 		if at := int(Mix(id, salt) % uint64(m)); free(at) {
 			return at
--- a/decide/circle/circle_test.go
+++ b/decide/circle/circle_test.go
@@ -38,16 +38,16 @@
 func TestSeatIsTheSameWhileItIsFree(t *testing.T) {
 	taken := map[int]bool{}
 	free := func(at int) bool { return !taken[at] }
-	first := Seat(7, 16, free)
+	first := AssignBucket(7, 16, free)
 	for id := uint64(100); len(taken) < 16; id++ { // all seats can be had
-		at := Seat(id, 16, free)
+		at := AssignBucket(id, 16, free)
 		if at < 0 || at > 15 || taken[at] {
 			t.Fatalf("seat %d of %d is taken or none", at, id)
 		}
 		taken[at] = true
 	}
 	delete(taken, first)
-	if got := Seat(7, 16, free); got != first {
+	if got := AssignBucket(7, 16, free); got != first {
 		t.Errorf("seat %d, then %d", first, got)
 	}
 }
--- a/decide/evidence/kinds_test.go
+++ b/decide/evidence/kinds_test.go
@@ -7,13 +7,13 @@
 	turns := 0
 	for range 40 {
 		for kind, span := range map[string]float64{"quick": 20, "slow": 40} {
-			if Compare(kinds, kind, span) {
+			if UpdateSpeeds(kinds, kind, span) {
 				turns++
 			}
 		}
 	}
-	if kinds["slow"].Slower != 1 || kinds["quick"].Slower != 0 || kinds["unseen"].Slower != 0 || turns > 2 {
+	if kinds["slow"].OctavesSlower != 1 || kinds["quick"].OctavesSlower != 0 || kinds["unseen"].OctavesSlower != 0 || turns > 2 {
 		t.Errorf("slow %v, quick %v, unseen %v octaves slower, weighed anew %d times",
-			kinds["slow"].Slower, kinds["quick"].Slower, kinds["unseen"].Slower, turns)
+			kinds["slow"].OctavesSlower, kinds["quick"].OctavesSlower, kinds["unseen"].OctavesSlower, turns)
 	}
 }
--- a/decide/evidence/median.go
+++ b/decide/evidence/median.go
@@ -12,22 +12,22 @@
 	n      int
 }
 
-// MedianPart is a share's place in a Median.
-type MedianPart int
+// MedianBin is a share's place in a Median.
+type MedianBin int
 
-// PartOf is the place of a share.
-func PartOf(share float64) MedianPart {
-	return MedianPart(min(max(math.Ceil(share*parts), 0), parts))
+// MedianBinOf is the place of a share.
+func MedianBinOf(share float64) MedianBin {
+	return MedianBin(min(max(math.Ceil(share*parts), 0), parts))
 }
 
 // Add counts a share at its place.
-func (m *Median) Add(at MedianPart) {
+func (m *Median) Add(at MedianBin) {
 	m.counts[at]++
 	m.n++
 }
 
 // Move counts a share at another place than before.
-func (m *Median) Move(from, to MedianPart) {
+func (m *Median) Move(from, to MedianBin) {
 	m.counts[from]--
 	m.counts[to]++
 }
@@ -43,7 +43,7 @@
 	return 0
 }
 
-// Outlier tells whether a share of failures, 0 to 1, stands out against the median of all.
-func (m *Median) Outlier(share float64) bool {
+// IsOutlier tells whether a share of failures, 0 to 1, stands out against the median of all.
+func (m *Median) IsOutlier(share float64) bool {
 	return m.n > 0 && share > 2*m.Value()+0.25
 }
--- a/decide/evidence/record.go
+++ b/decide/evidence/record.go
@@ -15,17 +15,17 @@
 	r.Good, r.Bad = r.Good*by, r.Bad*by
 }
 
-// Half gives a half away, to a process that shares the server with this one from now on: what both together may send stays
+// Halve gives a half away, to a process that shares the server with this one from now on: what both together may send stays
 // what it was.
-func (r *Record) Half() Record {
+func (r *Record) Halve() Record {
 	for i := range r.Sent {
 		r.Sent[i], r.Done[i] = r.Sent[i]/2, r.Done[i]/2
 	}
 	return *r
 }
 
-// Sound tells whether a record that came from outside can be one.
-func (r *Record) Sound() bool {
+// Valid tells whether a record that came from outside can be one.
+func (r *Record) Valid() bool {
 	for i := range r.Sent {
 		if !(r.Sent[i] >= 0 && r.Sent[i] < 1<<24 && r.Done[i] >= 0 && r.Done[i] < 1<<24) {
 			return false
@@ -39,12 +39,12 @@
 	return r.Limit > 0
 }
 
-// Paces are the usual reports of kinds of machine.
-type Paces map[int]float64
+// ReportBaselines are the usual reports of kinds of machine.
+type ReportBaselines map[int]float64
 
-// Slow books a report, and tells whether it is twice the usual. Slow machines are slow: each is judged by its own kind, and
+// ObserveSlow books a report, and tells whether it is twice the usual. ObserveSlow machines are slow: each is judged by its own kind, and
 // what is usual moves to the median, whatever the largest say.
-func (p Paces) Slow(kind int, pace float64) bool {
+func (p ReportBaselines) ObserveSlow(kind int, pace float64) bool {
 	usual, ok := p[kind]
 	if !ok {
 		usual = pace
--- a/decide/evidence/shares.go
+++ b/decide/evidence/shares.go
@@ -1,11 +1,11 @@
 package evidence
 
-// Shares counts, for each of a few kinds of work, what was answered and what was not. A server that fails one kind only
+// OutcomeCounts counts, for each of a few kinds of work, what was answered and what was not. A server that fails one kind only
 // serves the others well, so that its sum tells nothing of it. The zero value is empty.
-type Shares[K comparable] struct{ of map[K][2]float64 }
+type OutcomeCounts[K comparable] struct{ of map[K][2]float64 }
 
-// Book adds answers, and failures by what they prove.
-func (s *Shares[K]) Book(kind K, good, bad float64) {
+// Add adds answers, and failures by what they prove.
+func (s *OutcomeCounts[K]) Add(kind K, good, bad float64) {
 	if s.of == nil {
 		s.of = map[K][2]float64{}
 	}
@@ -13,16 +13,16 @@
 	s.of[kind] = [2]float64{x[0] + good, x[1] + bad}
 }
 
-// Fade lets what was counted count for less, by a factor from 0 to 1.
-func (s *Shares[K]) Fade(by float64) {
+// Decay lets what was counted count for less, by a factor from 0 to 1.
+func (s *OutcomeCounts[K]) Decay(by float64) {
 	for kind, x := range s.of {
 		s.of[kind] = [2]float64{x[0] * by, x[1] * by}
 	}
 }
 
-// StandOut tells whether a kind fails here far more than in all, and not by chance. It ends by itself as what was
+// IsOutlier tells whether a kind fails here far more than in all, and not by chance. It ends by itself as what was
 // counted fades, so that the kind is tried again.
-func (s *Shares[K]) StandOut(all *Shares[K], kind K) bool {
+func (s *OutcomeCounts[K]) IsOutlier(all *OutcomeCounts[K], kind K) bool {
 	x := s.of[kind]
 	if x[1] < 3 {
 		return false
--- a/decide/evidence/spans.go
+++ b/decide/evidence/spans.go
@@ -12,10 +12,10 @@
 	enough    = 8              // answers from which on a Spans speaks for itself
 )
 
-// Spans is how long answers take, in bins of half an octave, for a reader that also knows how long each push
+// LatencyHistogram is how long answers take, in bins of half an octave, for a reader that also knows how long each push
 // could have waited. Only answers that were waited for in full length are put in: where clients leave early,
 // slow answers are never seen, and what is seen would make the rest look late. The zero value is empty.
-type Spans struct {
+type LatencyHistogram struct {
 	bin   [bins]float64
 	total float64
 }
@@ -36,16 +36,16 @@
 }()
 
 // Add books an answer that took so long.
-func (s *Spans) Add(span float64) {
+func (s *LatencyHistogram) Add(span float64) {
 	s.bin[binOf(span)]++
 	s.total++
 }
 
-// Seen is what was booked, by bins of half an octave; Recalled takes it.
-func (s *Spans) Seen() []float64 { return append([]float64(nil), s.bin[:]...) }
+// Snapshot is what was booked, by bins of half an octave; Recalled takes it.
+func (s *LatencyHistogram) Snapshot() []float64 { return append([]float64(nil), s.bin[:]...) }
 
-// Recalled gives back what Seen gave. More bins than there are is none of it; below 0 nothing was seen.
-func Recalled(seen []float64) (s Spans) {
+// RestoreHistogram gives back what Seen gave. More bins than there are is none of it; below 0 nothing was seen.
+func RestoreHistogram(seen []float64) (s LatencyHistogram) {
 	if len(seen) <= bins {
 		for i, n := range seen {
 			s.bin[i] = max(n, 0)
@@ -55,8 +55,8 @@
 	return s
 }
 
-// Fade lets what was seen count for less, by a factor from 0 to 1.
-func (s *Spans) Fade(by float64) {
+// Decay lets what was seen count for less, by a factor from 0 to 1.
+func (s *LatencyHistogram) Decay(by float64) {
 	s.total = 0
 	for i := range s.bin {
 		s.bin[i] *= by
@@ -64,11 +64,11 @@
 	}
 }
 
-// Enough tells whether there are answers enough to judge by.
-func (s *Spans) Enough() bool { return s.total >= enough }
+// HasEnoughSamples tells whether there are answers enough to judge by.
+func (s *LatencyHistogram) HasEnoughSamples() bool { return s.total >= enough }
 
-// By is the share of answers that had come after a span, 0 to 1; 1 beyond all that was seen, 0 if none was.
-func (s *Spans) By(span float64) float64 {
+// ShareWithin is the share of answers that had come after a span, 0 to 1; 1 beyond all that was seen, 0 if none was.
+func (s *LatencyHistogram) ShareWithin(span float64) float64 {
 	if s.total <= 0 || !(span > 0) {
 		return 0
 	}
@@ -84,7 +84,7 @@
 }
 
 // Quantile is the span after which a share of the answers had come; 0 if none was seen.
-func (s *Spans) Quantile(share float64) float64 {
+func (s *LatencyHistogram) Quantile(share float64) float64 {
 	want, sum, lower := share*s.total, 0.0, 0.0
 	for i, n := range s.bin {
 		if sum += n; n > 0 && sum >= want {
--- a/decide/fleet/fleet.go
+++ b/decide/fleet/fleet.go
@@ -5,10 +5,10 @@
 
 import "minttray/decide/circle"
 
-// Turn is when one instance of n makes its first call to a service that all share, from its number: the span is cut
+// StartSlot is when one instance of n makes its first call to a service that all share, from its number: the span is cut
 // into n turns, and the call falls somewhere in its own. All that start together so call evenly, never in a burst. A
 // number outside 0 to n-1 gets a turn all the same.
-func Turn[T ~int64](number, n int, span T) (from, to T) {
+func StartSlot[T ~int64](number, n int, span T) (from, to T) {
 	n = max(n, 1)
 	number = (number%n + n) % n
 	return span * T(number) / T(n), span * T(number+1) / T(n)
@@ -18,42 +18,42 @@
 // old and then answers none: it comes back only if all ask less. The zero value is ready.
 type Backoff[T ~int64] struct{ failed int }
 
-// Failed books a failure, and gives the span within which, drawn evenly from 0, to call again: the first one, doubled
+// RecordFailure books a failure, and gives the span within which, drawn evenly from 0, to call again: the first one, doubled
 // with each failure in a row, most at the longest.
-func (b *Backoff[T]) Failed(first, most T) T {
+func (b *Backoff[T]) RecordFailure(first, most T) T {
 	span := first << min(b.failed, 16)
 	b.failed++
 	return min(max(span, 1), max(most, 1))
 }
 
-// Held books a call that was answered.
-func (b *Backoff[T]) Held() { b.failed = 0 }
+// Reset books a call that was answered.
+func (b *Backoff[T]) Reset() { b.failed = 0 }
 
-// Doubt is what one failure says of one of many servers where each instance sees little of it: that it is better passed
+// Suspicion is what one failure says of one of many servers where each instance sees little of it: that it is better passed
 // over for a while, and for twice as long if the next push there fails as well. The zero value is no doubt.
-type Doubt[T ~int64] struct{ span, until T }
+type Suspicion[T ~int64] struct{ span, until T }
 
 const mostDoubled = 4 // times the span that a first failure gives
 
-// Begin books a failure now. One that comes while the doubt stands was sent before, or for want of a better server, and
+// Raise books a failure now. One that comes while the doubt stands was sent before, or for want of a better server, and
 // does not lengthen it.
-func (d *Doubt[T]) Begin(now, span T) {
+func (d *Suspicion[T]) Raise(now, span T) {
 	if now >= d.until {
 		d.span = min(max(2*d.span, span), mostDoubled*span)
 		d.until = now + d.span
 	}
 }
 
-// End books an answer.
-func (d *Doubt[T]) End() { *d = Doubt[T]{} }
+// Clear books an answer.
+func (d *Suspicion[T]) Clear() { *d = Suspicion[T]{} }
 
-// Stands tells whether the server is to be passed over now.
-func (d *Doubt[T]) Stands(now T) bool { return now < d.until }
+// Active tells whether the server is to be passed over now.
+func (d *Suspicion[T]) Active(now T) bool { return now < d.until }
 
 // Silence is what failures in a row say of a group of servers that stand or fall together, as those of one zone do: where
 // each server alone is asked too rarely to be judged soon, the group as a whole is not. The zero value has heard all.
 type Silence[T ~int64] struct {
-	Doubt[T]
+	Suspicion[T]
 	row int
 }
 
@@ -65,18 +65,18 @@
 // up to four times as long; then one more push is enough to renew it.
 func (s *Silence[T]) Silent(now, span T, inARow int) {
 	if s.row++; s.row >= inARow {
-		s.Begin(now, span)
+		s.Raise(now, span)
 	}
 }
 
 // Heard books any answer, also one that turns a push away.
 func (s *Silence[T]) Heard() { *s = Silence[T]{} }
 
-// Sites is what silence says of many sites at an instance in one of them. A site that is lost is silent for itself; where the
+// SiteHealth is what silence says of many sites at an instance in one of them. A site that is lost is silent for itself; where the
 // own one is cut off, all others are at once: pushes go to each in turn, and each alone would take many more to tell. A site
 // that comes back is used at once; one that was lost again shortly after gets its keys back over a while, twice as long each time.
-type Sites[T ~int64] struct {
-	Own    int
+type SiteHealth[T ~int64] struct {
+	Local    int
 	by     map[int]*place[T]
 	others Silence[T]
 }
@@ -95,7 +95,7 @@
 	forgiven = 64      // units after a return: a loss then is the first again
 )
 
-func (s *Sites[T]) of(site int) *place[T] {
+func (s *SiteHealth[T]) of(site int) *place[T] {
 	if s.by == nil {
 		s.by = map[int]*place[T]{}
 	}
@@ -105,19 +105,19 @@
 	return s.by[site]
 }
 
-// Silent books a push that a site left unanswered.
-func (s *Sites[T]) Silent(site int, now, span T) {
+// RecordFailure books a push that a site left unanswered.
+func (s *SiteHealth[T]) RecordFailure(site int, now, span T) {
 	p := s.of(site)
 	if p.unit = span; p.losses > 0 && now >= p.back+forgiven*p.unit {
 		p.losses = 0
 	}
-	if p.Silent(now, span, inARow); site != s.Own {
+	if p.Silent(now, span, inARow); site != s.Local {
 		s.others.Silent(now, span, ofAllOthers)
 	}
 }
 
-// Heard books any answer from a site.
-func (s *Sites[T]) Heard(site int, now T) {
+// RecordAnswer books any answer from a site.
+func (s *SiteHealth[T]) RecordAnswer(site int, now T) {
 	p := s.of(site)
 	if p.row >= inARow {
 		p.losses++
@@ -126,14 +126,14 @@
 			p.over = 0
 		}
 	}
-	if p.Heard(); site != s.Own {
+	if p.Heard(); site != s.Local {
 		s.others.Heard()
 	}
 }
 
-// Stands tells whether a site is to be passed over now for a key, by its hash: the same keys come back first at every instance.
-func (s *Sites[T]) Stands(site int, key uint64, now T) bool {
+// ShouldAvoid tells whether a site is to be passed over now for a key, by its hash: the same keys come back first at every instance.
+func (s *SiteHealth[T]) ShouldAvoid(site int, key uint64, now T) bool {
 	p := s.of(site)
-	return p.Stands(now) || site != s.Own && s.others.Stands(now) ||
+	return p.Active(now) || site != s.Local && s.others.Active(now) ||
 		now < p.back+p.over && float64(circle.Mix(key, spread)>>11)/(1<<53) >= float64(now-p.back)/float64(p.over)
 }
--- a/decide/heat/heat.go
+++ b/decide/heat/heat.go
@@ -9,15 +9,15 @@
 	least    = counters / 8 // asked, before which a share means nothing
 )
 
-// Keys counts what one proxy is asked for. The zero value has been asked nothing.
-type Keys struct {
+// KeyCounter counts what one proxy is asked for. The zero value has been asked nothing.
+type KeyCounter struct {
 	count map[uint64]float64
 	asked float64
 }
 
-// Asked books a key, and gives its share of what was asked lately, 0 to 1: one time is taken for chance, or, where an
+// Observe books a key, and gives its share of what was asked lately, 0 to 1: one time is taken for chance, or, where an
 // extra copy of the key costs little, for the sign of more.
-func (k *Keys) Asked(key uint64, cheap bool) float64 {
+func (k *KeyCounter) Observe(key uint64, cheap bool) float64 {
 	if k.count == nil {
 		k.count = map[uint64]float64{}
 	}
@@ -43,13 +43,13 @@
 	return 0
 }
 
-// Counts is what was asked lately, by key, and in all; Recall takes both.
-func (k *Keys) Counts() (count map[uint64]float64, asked float64) {
+// Snapshot is what was asked lately, by key, and in all; Recall takes both.
+func (k *KeyCounter) Snapshot() (count map[uint64]float64, asked float64) {
 	return maps.Clone(k.count), k.asked
 }
 
-// Recall takes what another process counted; more than there are counters for is none of it.
-func (k *Keys) Recall(count map[uint64]float64, asked float64) {
+// Restore takes what another process counted; more than there are counters for is none of it.
+func (k *KeyCounter) Restore(count map[uint64]float64, asked float64) {
 	if len(count) <= counters {
 		k.count, k.asked = maps.Clone(count), min(max(asked, 0), lately)
 	}
--- a/decide/lifecycle/lifecycle_test.go
+++ b/decide/lifecycle/lifecycle_test.go
@@ -11,50 +11,50 @@
 	type want struct {
 		state State
 		yes   bool
-		phase Phase
+		phase ClosePolicy
 	}
-	plan := Plan{Coming: 4500, Over: 500, Last: 6200, Hand: 40000, Turn: 12000}
+	plan := Schedule{ListenFor: 4500, ListenForWithSuccessor: 500, AcceptCommandsFor: 6200, AnswerOpenAfter: 40000, CloseInformedAfter: 12000}
 	for name, steps := range map[string][]struct {
 		at   Time
-		do   func(l *Life, now Time)
+		do   func(l *Machine, now Time)
 		want want
 	}{
 		"sent away and taken again": {
-			{0, func(l *Life, now Time) { l.Listening(now, false) }, want{Serving, true, Keep}},
-			{100, func(l *Life, now Time) { l.Send(now, true) }, want{SentAway, false, Keep}},
-			{4700, nil, want{SentAway, false, Answered}},
-			{5000, func(l *Life, now Time) { l.Send(now, true) }, want{SentAway, false, Answered}}, // not begun anew
-			{12100, nil, want{SentAway, false, Asked}},
-			{13000, func(l *Life, now Time) { l.Send(now, false) }, want{Serving, true, Keep}},
-			{13001, func(l *Life, now Time) { l.Send(now, false) }, want{Serving, true, Keep}},
-			{14000, func(l *Life, now Time) { l.Send(now, true) }, want{SentAway, false, Keep}},
+			{0, func(l *Machine, now Time) { l.MarkListening(now, false) }, want{Serving, true, KeepOpen}},
+			{100, func(l *Machine, now Time) { l.SetLameDuck(now, true) }, want{LameDuck, false, KeepOpen}},
+			{4700, nil, want{LameDuck, false, CloseAfterReply}},
+			{5000, func(l *Machine, now Time) { l.SetLameDuck(now, true) }, want{LameDuck, false, CloseAfterReply}}, // not begun anew
+			{12100, nil, want{LameDuck, false, CloseInformed}},
+			{13000, func(l *Machine, now Time) { l.SetLameDuck(now, false) }, want{Serving, true, KeepOpen}},
+			{13001, func(l *Machine, now Time) { l.SetLameDuck(now, false) }, want{Serving, true, KeepOpen}},
+			{14000, func(l *Machine, now Time) { l.SetLameDuck(now, true) }, want{LameDuck, false, KeepOpen}},
 		},
 		"ended alone": {
-			{0, func(l *Life, now Time) { l.Listening(now, false) }, want{Serving, true, Keep}},
-			{10, func(l *Life, now Time) { l.Stop(now, false) }, want{Draining, true, Keep}},
-			{20, func(l *Life, now Time) {
-				if l.Send(now, true) == nil || l.Ready() {
+			{0, func(l *Machine, now Time) { l.MarkListening(now, false) }, want{Serving, true, KeepOpen}},
+			{10, func(l *Machine, now Time) { l.Stop(now, false) }, want{Draining, true, KeepOpen}},
+			{20, func(l *Machine, now Time) {
+				if l.SetLameDuck(now, true) == nil || l.Ready() {
 					t.Error("a process that ends takes a call")
 				}
-			}, want{Draining, true, Keep}},
-			{4510, nil, want{Draining, true, Asked}},
-			{6210, nil, want{Draining, true, All}},
-			{6211, func(l *Life, now Time) { l.Empty() }, want{Ended, true, All}},
+			}, want{Draining, true, KeepOpen}},
+			{4510, nil, want{Draining, true, CloseInformed}},
+			{6210, nil, want{Draining, true, CloseAll}},
+			{6211, func(l *Machine, now Time) { l.MarkEmpty() }, want{Ended, true, CloseAll}},
 		},
 		"ended with a successor": {
-			{0, func(l *Life, now Time) { l.Listening(now, false) }, want{Serving, true, Keep}},
-			{10, func(l *Life, now Time) { l.Stop(now, true) }, want{Draining, true, Answered}},
-			{510, func(l *Life, now Time) { l.Stop(now, true) }, want{Draining, true, Answered}},
-			{4510, nil, want{Draining, true, Asked}},
-			{6210, nil, want{Draining, true, All}},
+			{0, func(l *Machine, now Time) { l.MarkListening(now, false) }, want{Serving, true, KeepOpen}},
+			{10, func(l *Machine, now Time) { l.Stop(now, true) }, want{Draining, true, CloseAfterReply}},
+			{510, func(l *Machine, now Time) { l.Stop(now, true) }, want{Draining, true, CloseAfterReply}},
+			{4510, nil, want{Draining, true, CloseInformed}},
+			{6210, nil, want{Draining, true, CloseAll}},
 		},
 		"taken over while sent away": {
-			{0, func(l *Life, now Time) { l.Listening(now, true) }, want{SentAway, false, Keep}},
-			{10, func(l *Life, now Time) { l.Stop(now, false) }, want{Draining, false, Answered}},
-			{4510, nil, want{Draining, false, Asked}},
+			{0, func(l *Machine, now Time) { l.MarkListening(now, true) }, want{LameDuck, false, KeepOpen}},
+			{10, func(l *Machine, now Time) { l.Stop(now, false) }, want{Draining, false, CloseAfterReply}},
+			{4510, nil, want{Draining, false, CloseInformed}},
 		},
 	} {
-		l := Life{Plan: plan}
+		l := Machine{Schedule: plan}
 		if l.Ready() || l.State() != Starting {
 			t.Error("ready before it listens")
 		}
@@ -62,7 +62,7 @@
 			if s.do != nil {
 				s.do(&l, s.at)
 			}
-			if got := (want{l.State(), l.Yes(), l.Phase(s.at)}); got != s.want {
+			if got := (want{l.State(), l.Healthy(), l.ClosePolicy(s.at)}); got != s.want {
 				t.Errorf("%s, at %d: %+v, wanted %+v", name, s.at, got, s.want)
 			}
 		}
@@ -71,34 +71,34 @@
 
 // What each event makes of each state; 0 to 5 are starting, serving, sent away, draining, handing back, ended.
 func TestEveryEventInEveryState(t *testing.T) {
-	plan := Plan{Coming: 4500, Over: 500, Last: 6200, Hand: 40000, Close: 3000, Turn: 12000}
-	reach := []func(l *Life){
-		func(l *Life) {},
-		func(l *Life) { l.Listening(0, false) },
-		func(l *Life) { l.Listening(0, true) },
-		func(l *Life) { l.Listening(0, false); l.Stop(0, false) },
-		func(l *Life) { l.Listening(0, false); l.Stop(0, false); l.Due(40000) },
-		func(l *Life) { l.Stop(0, false); l.Empty() },
+	plan := Schedule{ListenFor: 4500, ListenForWithSuccessor: 500, AcceptCommandsFor: 6200, AnswerOpenAfter: 40000, FlushTimeout: 3000, CloseInformedAfter: 12000}
+	reach := []func(l *Machine){
+		func(l *Machine) {},
+		func(l *Machine) { l.MarkListening(0, false) },
+		func(l *Machine) { l.MarkListening(0, true) },
+		func(l *Machine) { l.MarkListening(0, false); l.Stop(0, false) },
+		func(l *Machine) { l.MarkListening(0, false); l.Stop(0, false); l.Advance(40000) },
+		func(l *Machine) { l.Stop(0, false); l.MarkEmpty() },
 	}
 	for name, event := range map[string]struct {
-		do   func(l *Life)
+		do   func(l *Machine)
 		then [6]State
 	}{
-		"listening":               {func(l *Life) { l.Listening(5, false) }, [6]State{1, 1, 2, 3, 4, 5}},
-		"sent away":               {func(l *Life) { l.Send(5, true) }, [6]State{2, 2, 2, 3, 4, 5}},
-		"taken again":             {func(l *Life) { l.Send(5, false) }, [6]State{0, 1, 1, 3, 4, 5}},
-		"stop":                    {func(l *Life) { l.Stop(5, false) }, [6]State{3, 3, 3, 3, 4, 5}},
-		"a successor":             {func(l *Life) { l.Successor(true) }, [6]State{0, 1, 2, 3, 4, 5}},
-		"none any more":           {func(l *Life) { l.Successor(false) }, [6]State{0, 1, 2, 3, 4, 5}},
-		"time before it is due":   {func(l *Life) { l.Due(39999) }, [6]State{0, 1, 2, 3, 4, 5}},
-		"time to hand back":       {func(l *Life) { l.Due(40000) }, [6]State{0, 1, 2, 4, 4, 5}},
-		"time to end":             {func(l *Life) { l.Due(43000) }, [6]State{0, 1, 2, 4, 5, 5}},
-		"empty":                   {func(l *Life) { l.Empty() }, [6]State{0, 1, 2, 5, 5, 5}},
-		"stop, and again at once": {func(l *Life) { l.Stop(5, false); l.Stop(6, false); l.Due(7) }, [6]State{3, 3, 3, 3, 4, 5}},
-		"stop, and again later":   {func(l *Life) { l.Stop(0, false); l.Stop(6200, false); l.Due(6200) }, [6]State{4, 4, 4, 4, 4, 5}},
+		"listening":               {func(l *Machine) { l.MarkListening(5, false) }, [6]State{1, 1, 2, 3, 4, 5}},
+		"sent away":               {func(l *Machine) { l.SetLameDuck(5, true) }, [6]State{2, 2, 2, 3, 4, 5}},
+		"taken again":             {func(l *Machine) { l.SetLameDuck(5, false) }, [6]State{0, 1, 1, 3, 4, 5}},
+		"stop":                    {func(l *Machine) { l.Stop(5, false) }, [6]State{3, 3, 3, 3, 4, 5}},
+		"a successor":             {func(l *Machine) { l.SetSuccessor(true) }, [6]State{0, 1, 2, 3, 4, 5}},
+		"none any more":           {func(l *Machine) { l.SetSuccessor(false) }, [6]State{0, 1, 2, 3, 4, 5}},
+		"time before it is due":   {func(l *Machine) { l.Advance(39999) }, [6]State{0, 1, 2, 3, 4, 5}},
+		"time to hand back":       {func(l *Machine) { l.Advance(40000) }, [6]State{0, 1, 2, 4, 4, 5}},
+		"time to end":             {func(l *Machine) { l.Advance(43000) }, [6]State{0, 1, 2, 4, 5, 5}},
+		"empty":                   {func(l *Machine) { l.MarkEmpty() }, [6]State{0, 1, 2, 5, 5, 5}},
+		"stop, and again at once": {func(l *Machine) { l.Stop(5, false); l.Stop(6, false); l.Advance(7) }, [6]State{3, 3, 3, 3, 4, 5}},
+		"stop, and again later":   {func(l *Machine) { l.Stop(0, false); l.Stop(6200, false); l.Advance(6200) }, [6]State{4, 4, 4, 4, 4, 5}},
 	} {
 		for from, begin := range reach {
-			l := Life{Plan: plan}
+			l := Machine{Schedule: plan}
 			begin(&l)
 			if l.State() != State(from) {
 				t.Fatalf("%v is not reached, but %v", State(from), l.State())
@@ -112,15 +112,15 @@
 
 // With a successor nobody has to come here any more; one that has died is none.
 func TestListensForLessWithASuccessor(t *testing.T) {
-	l := Life{Plan: Plan{Coming: 4500, Over: 500, Hand: 9000}}
-	l.Listening(0, false)
+	l := Machine{Schedule: Schedule{ListenFor: 4500, ListenForWithSuccessor: 500, AnswerOpenAfter: 9000}}
+	l.MarkListening(0, false)
 	l.Stop(10, true)
 	for _, at := range []struct {
 		now       Time
 		successor bool
 		want      bool
 	}{{500, true, true}, {520, true, false}, {520, false, true}, {4520, false, false}, {4000, true, false}} {
-		if l.Successor(at.successor); l.Listens(at.now) != at.want {
+		if l.SetSuccessor(at.successor); l.Accepting(at.now) != at.want {
 			t.Errorf("%+v", at)
 		}
 	}
@@ -129,10 +129,10 @@
 // Whatever happens in whatever order, a process that was told to stop hands back once, and then ends.
 func TestEveryEndHandsBackOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l, now, back := Life{Plan: Plan{Coming: 45, Over: 5, Last: 62, Hand: 400, Close: 30, Turn: 120}}, Time(0), 0
+		l, now, back := Machine{Schedule: Schedule{ListenFor: 45, ListenForWithSuccessor: 5, AcceptCommandsFor: 62, AnswerOpenAfter: 400, FlushTimeout: 30, CloseInformedAfter: 120}}, Time(0), 0
 		due := func() Duty {
-			d := l.Due(now)
-			if d == HandBack {
+			d := l.Advance(now)
+			if d == AnswerOpen {
 				back++
 			}
 			return d
@@ -142,25 +142,25 @@
 			yes := rapid.Bool().Draw(t, "yes")
 			switch rapid.IntRange(0, 4).Draw(t, "event") {
 			case 0:
-				l.Listening(now, yes)
+				l.MarkListening(now, yes)
 			case 1:
-				l.Send(now, yes)
+				l.SetLameDuck(now, yes)
 			case 2:
 				l.Stop(now, yes)
 			case 3:
-				l.Successor(yes)
+				l.SetSuccessor(yes)
 			case 4:
 				due()
 			}
-			if l.Ready() == (l.State() == Starting || l.State() >= Draining) || l.Listens(now) && l.State() > Draining {
-				t.Fatalf("%v: ready %v, listens %v", l.State(), l.Ready(), l.Listens(now))
+			if l.Ready() == (l.State() == Starting || l.State() >= Draining) || l.Accepting(now) && l.State() > Draining {
+				t.Fatalf("%v: ready %v, listens %v", l.State(), l.Ready(), l.Accepting(now))
 			}
 		}
 		l.Stop(now, false)
 		ended := false
 		for range 500 {
 			now++
-			ended = due() == End
+			ended = due() == Exit
 		}
 		if back != 1 || !ended {
 			t.Fatalf("handed back %d times, ended %v", back, ended)
@@ -178,12 +178,12 @@
 		"no word on how long past it is":  {35000, 0, 4000, 35000},
 		"operators allow less than a TTL": {10000, 5500, 20000, 10000},
 	} {
-		l := Life{Plan: Plan{Hand: c.hand, Past: c.past, Close: 100}}
-		l.Listening(0, false)
-		l.Longest(60001)
-		l.Longest(c.longest) // the settings in force as it is told to stop
+		l := Machine{Schedule: Schedule{AnswerOpenAfter: c.hand, TTLMargin: c.past, FlushTimeout: 100}}
+		l.MarkListening(0, false)
+		l.SetMaxTTL(60001)
+		l.SetMaxTTL(c.longest) // the settings in force as it is told to stop
 		l.Stop(7, false)
-		if before, then := l.Due(7+c.want-1), l.Due(7+c.want); before != None || then != HandBack {
+		if before, then := l.Advance(7+c.want-1), l.Advance(7+c.want); before != None || then != AnswerOpen {
 			t.Errorf("%s: %v, then %v", name, before, then)
 		}
 	}
--- a/decide/overload/overload.go
+++ b/decide/overload/overload.go
@@ -16,15 +16,15 @@
 	behindPart = 4
 )
 
-// TurnAway tells whether a request is refused as it comes: the oldest event has waited so long that its turn would come too late, or
+// ShouldReject tells whether a request is refused as it comes: the oldest event has waited so long that its turn would come too late, or
 // that nobody knows when it comes at all.
-func TurnAway(lag, left Time) bool { return lag > mostLag || lag > behind && lag > left/2 }
+func ShouldReject(lag, left Time) bool { return lag > mostLag || lag > behind && lag > left/2 }
 
 // Request is what is known of one that was taken.
 type Request struct {
 	Waited   Time // since it came
-	Left     Time // until its client stops waiting
-	Begun    bool // an attempt has begun: a refusal would promise too much
+	Remaining     Time // until its client stops waiting
+	Attempted    bool // an attempt has begun: a refusal would promise too much
 	Answered bool // an attempt's answer has come, and waits for the event loop
 }
 
@@ -38,29 +38,29 @@
 	Serve                // by the answer that has come
 )
 
-// For tells what is done for a request while the oldest event has waited for so long. One without an attempt is refused at half of its time: its
+// Decide tells what is done for a request while the oldest event has waited for so long. One without an attempt is refused at half of its time: its
 // client can still be served elsewhere. One with an attempt is answered when its time is nearly over.
-func For(r Request, lag Time) Action {
-	whole := r.Waited + r.Left
+func Decide(r Request, lag Time) Action {
+	whole := r.Waited + r.Remaining
 	switch {
 	case lag < min(behind, whole/behindPart):
 		return Wait
 	case r.Answered:
 		return Serve
-	case !r.Begun && r.Waited >= whole/2:
+	case !r.Attempted && r.Waited >= whole/2:
 		return Refuse
-	case r.Begun && r.Left <= whole/16:
+	case r.Attempted && r.Remaining <= whole/16:
 		return Fail
 	}
 	return Wait
 }
 
-// AtEnd tells what is done for a request as the process ends, and the event loop does not come to it.
-func AtEnd(r Request) Action {
+// DecideAtShutdown tells what is done for a request as the process ends, and the event loop does not come to it.
+func DecideAtShutdown(r Request) Action {
 	switch {
 	case r.Answered:
 		return Serve
-	case r.Begun:
+	case r.Attempted:
 		return Fail
 	}
 	return Refuse
--- a/decide/pace/pace.go
+++ b/decide/pace/pace.go
@@ -13,16 +13,16 @@
 	back    = 4.0 / 5 // of the pace that a wrong jump began at
 )
 
-// Back is one instance's way back. The zero value has never lost its pace.
-type Back struct {
+// Recovery is one instance's way back. The zero value has never lost its pace.
+type Recovery struct {
 	best float64 // the highest pace that was ever cut
 	from float64 // that the last jump began at; 0: none is to be judged
 	row  int     // quick answers since a cut, or since the jump
 	need int     // so many before one
 }
 
-// Quick books an answer as quick as ever, and gives the pace that follows.
-func (b *Back) Quick(pace float64) float64 {
+// ObserveQuick books an answer as quick as ever, and gives the pace that follows.
+func (b *Recovery) ObserveQuick(pace float64) float64 {
 	b.row++
 	switch {
 	case b.from > 0 && b.row > b.need+held:
@@ -34,9 +34,9 @@
 	return pace
 }
 
-// Cut books that a pace is about to be cut, for a failure or one slow answer. It tells whether a jump was wrong: then the
+// ObserveCut books that a pace is about to be cut, for a failure or one slow answer. It tells whether a jump was wrong: then the
 // pace is back where it has to be, and is not cut.
-func (b *Back) Cut(pace *float64, failed bool) (wrong bool) {
+func (b *Recovery) ObserveCut(pace *float64, failed bool) (wrong bool) {
 	if b.from > 0 && failed {
 		*pace, b.from, b.row, b.need = b.from*back, 0, 0, min(dearer*b.need, dearest)
 		return true
--- a/decide/roster/roster.go
+++ b/decide/roster/roster.go
@@ -17,8 +17,8 @@
 // never believed: a fleet ends cache by cache, drained or left, and those that are truly gone are found out by their
 // connections.
 type Guard[T ~int64] struct {
-	Doubt   float64 // share of the caches in use that a list may not lack at once; 0: each list is taken
-	Confirm T
+	MaxMissingShare   float64 // share of the caches in use that a list may not lack at once; 0: each list is taken
+	ConfirmAfter T
 
 	held  bool
 	since T
@@ -26,9 +26,9 @@
 	empty bool // and whether it named nothing
 }
 
-// Whole judges a list: known caches were in use before it, of which it lacks some, undrained; it names so many in use.
-func (g *Guard[T]) Whole(now T, known, lacks, named int) Verdict {
-	if g.Doubt <= 0 || lacks == 0 || float64(lacks) < g.Doubt*float64(known) && named > 0 {
+// Evaluate judges a list: known caches were in use before it, of which it lacks some, undrained; it names so many in use.
+func (g *Guard[T]) Evaluate(now T, known, lacks, named int) Verdict {
+	if g.MaxMissingShare <= 0 || lacks == 0 || float64(lacks) < g.MaxMissingShare*float64(known) && named > 0 {
 		g.held = false
 		return Take
 	}
@@ -36,12 +36,12 @@
 		g.held, g.since = true, now
 	}
 	g.lacks, g.empty = lacks, named == 0
-	if named > 0 && now >= g.since+g.Confirm {
+	if named > 0 && now >= g.since+g.ConfirmAfter {
 		g.held = false
 		return Take
 	}
 	return Hold
 }
 
-// Held tells whether the last list is in doubt.
-func (g *Guard[T]) Held() bool { return g.held }
+// Holding tells whether the last list is in doubt.
+func (g *Guard[T]) Holding() bool { return g.held }
--- a/decide/roster/roster_test.go
+++ b/decide/roster/roster_test.go
@@ -23,14 +23,14 @@
 		"all replaced at once, truly":   {{0, 10, 10, 10, Hold}, {700, 10, 10, 10, Take}},
 		"nothing was known before this": {{0, 0, 0, 10, Take}},
 	} {
-		g := Guard[int64]{Doubt: 0.5, Confirm: 500}
+		g := Guard[int64]{MaxMissingShare: 0.5, ConfirmAfter: 500}
 		for i, l := range lists {
-			if got := g.Whole(l.at, l.known, l.lacks, l.named); got != l.want || g.Held() != (got == Hold) {
-				t.Errorf("%s, list %d: %v, held %v", name, i, got, g.Held())
+			if got := g.Evaluate(l.at, l.known, l.lacks, l.named); got != l.want || g.Holding() != (got == Hold) {
+				t.Errorf("%s, list %d: %v, held %v", name, i, got, g.Holding())
 			}
 		}
 	}
-	if g := (Guard[int64]{}); g.Whole(0, 10, 10, 0) != Take {
+	if g := (Guard[int64]{}); g.Evaluate(0, 10, 10, 0) != Take {
 		t.Error("on without being switched on")
 	}
 }
@@ -38,17 +38,17 @@
 // A list that goes on to say the same is taken within the span, unless it names nothing; then it is never.
 func TestTrueListsAreTakenInTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		g := Guard[int64]{Doubt: rapid.Float64Range(0.01, 1).Draw(t, "doubt"), Confirm: 500}
+		g := Guard[int64]{MaxMissingShare: rapid.Float64Range(0.01, 1).Draw(t, "doubt"), ConfirmAfter: 500}
 		known := rapid.IntRange(1, 50).Draw(t, "known")
 		lacks := rapid.IntRange(0, known).Draw(t, "lacks")
 		named := known - lacks + rapid.IntRange(0, 5).Draw(t, "new")
 		now, taken := int64(0), false
 		for !taken && now <= 500 {
-			taken = g.Whole(now, known, lacks, named) == Take
+			taken = g.Evaluate(now, known, lacks, named) == Take
 			now += rapid.Int64Range(1, 100).Draw(t, "span")
 		}
 		if !taken {
-			taken = g.Whole(max(now, 500), known, lacks, named) == Take
+			taken = g.Evaluate(max(now, 500), known, lacks, named) == Take
 		}
 		if taken != (named > 0) {
 			t.Fatalf("taken %v", taken)
--- a/decide/shortage/shortage.go
+++ b/decide/shortage/shortage.go
@@ -30,11 +30,11 @@
 	row   float64 // what the next quick answer counts: doubled by each in a row
 }
 
-// Ended books a push: weight, 0 to 1, is how much its end tells of a server's load; span how long it took, in target
+// ObservePush books a push: weight, 0 to 1, is how much its end tells of a server's load; span how long it took, in target
 // latencies; share the gate's when it was sent. Half of all pushes slow is more than a sick part brings, and
 // less than a jam does. What went out before the gate shut further proves less, for it met what that came of; a
 // push counts for the ops that were refused beside it. A jam has few quick answers in a row, its end has many.
-func (g *Gate) Ended(weight, span, share float64) {
+func (g *Gate) ObservePush(weight, span, share float64) {
 	if weight <= 0 {
 		return
 	}
@@ -44,17 +44,17 @@
 		g.usual += g.usual * rise
 	}
 	late := min(max((span/max(1, times*g.usual)-quick)/(slow-quick), 0), 1)
-	step := gain * weight * min(1/g.Share(), boost) * (late - bound)
+	step := gain * weight * min(1/g.AdmittedShare(), boost) * (late - bound)
 	if step > 0 {
-		g.row, step = 1, step*min(g.Share()/share, 1)
+		g.row, step = 1, step*min(g.AdmittedShare()/share, 1)
 	} else {
 		g.row, step = min(2*g.row, boost), step*max(g.row, 1)
 	}
 	g.shut = min(max(g.shut+step, -slack), -math.Log(least))
 }
 
-// Refused opens the gate a little: nothing else would tell of the end of a shortage where hardly a push goes out.
-func (g *Gate) Refused() { g.shut = max(g.shut-again, -slack) }
+// ObserveRefusal opens the gate a little: nothing else would tell of the end of a shortage where hardly a push goes out.
+func (g *Gate) ObserveRefusal() { g.shut = max(g.shut-again, -slack) }
 
-// Share is the part of all ops that is let through, 1 where no shortage is seen.
-func (g *Gate) Share() float64 { return math.Exp(-max(g.shut, 0)) }
+// AdmittedShare is the part of all ops that is let through, 1 where no shortage is seen.
+func (g *Gate) AdmittedShare() float64 { return math.Exp(-max(g.shut, 0)) }
--- a/decide/shortage/shortage_test.go
+++ b/decide/shortage/shortage_test.go
@@ -8,8 +8,8 @@
 // spell sends a gate so many ops; slow tells whether one let through would be.
 func spell(g *Gate, rnd *rand.Rand, ops int, slow float64) (let float64) {
 	for range ops {
-		if rnd.Float64() > g.Share() {
-			g.Refused()
+		if rnd.Float64() > g.AdmittedShare() {
+			g.ObserveRefusal()
 			continue
 		}
 		let++
@@ -17,7 +17,7 @@
 		if rnd.Float64() < slow {
 			span = 1
 		}
-		g.Ended(1, span, g.Share())
+		g.ObservePush(1, span, g.AdmittedShare())
 	}
 	return let / float64(ops)
 }
@@ -64,21 +64,21 @@
 	shut := func(do func(g *Gate)) float64 {
 		g := &Gate{}
 		for range 3 {
-			g.Ended(1, 1, 1)
+			g.ObservePush(1, 1, 1)
 		}
 		do(g)
-		return g.Share()
+		return g.AdmittedShare()
 	}
 	for _, c := range []struct {
 		name       string
 		more, less func(g *Gate)
 	}{
-		{"a push sent before the gate shut", func(g *Gate) { g.Ended(1, 1, g.Share()) }, func(g *Gate) { g.Ended(1, 1, 1) }},
-		{"a time-out that says little of load", func(g *Gate) { g.Ended(1, 1, 1) }, func(g *Gate) { g.Ended(0.2, 1, 1) }},
-		{"an answer within the target", func(g *Gate) { g.Ended(1, 1, 1) }, func(g *Gate) { g.Ended(1, 0.5, 1) }},
+		{"a push sent before the gate shut", func(g *Gate) { g.ObservePush(1, 1, g.AdmittedShare()) }, func(g *Gate) { g.ObservePush(1, 1, 1) }},
+		{"a time-out that says little of load", func(g *Gate) { g.ObservePush(1, 1, 1) }, func(g *Gate) { g.ObservePush(0.2, 1, 1) }},
+		{"an answer within the target", func(g *Gate) { g.ObservePush(1, 1, 1) }, func(g *Gate) { g.ObservePush(1, 0.5, 1) }},
 		{"quick answers that do not come in a row",
-			func(g *Gate) { g.Ended(1, 0.1, 1); g.Ended(1, 1, 1); g.Ended(1, 0.1, 1) },
-			func(g *Gate) { g.Ended(1, 1, 1); g.Ended(1, 0.1, 1); g.Ended(1, 0.1, 1) }},
+			func(g *Gate) { g.ObservePush(1, 0.1, 1); g.ObservePush(1, 1, 1); g.ObservePush(1, 0.1, 1) },
+			func(g *Gate) { g.ObservePush(1, 1, 1); g.ObservePush(1, 0.1, 1); g.ObservePush(1, 0.1, 1) }},
 	} {
 		if shut(c.more) >= shut(c.less) {
 			t.Errorf("%s: share %.3f, else %.3f", c.name, shut(c.less), shut(c.more))
@@ -90,9 +90,9 @@
 func TestSlowWorkIsNoShortage(t *testing.T) {
 	g := &Gate{}
 	for i := range 400 {
-		g.Ended(1, 0.45+0.3*float64(i%2), 1)
+		g.ObservePush(1, 0.45+0.3*float64(i%2), 1)
 	}
-	if g.Share() < 1 {
-		t.Errorf("share %.2f", g.Share())
+	if g.AdmittedShare() < 1 {
+		t.Errorf("share %.2f", g.AdmittedShare())
 	}
 }
--- a/decide/site/ladder_test.go
+++ b/decide/site/ladder_test.go
@@ -25,17 +25,17 @@
 // Five categories, hits and fetches of each drawn: no ladder brings more, and no room is overspent.
 func TestNoLadderBringsMore(t *testing.T) {
 	rnd := chance.PCG{State: 1}
-	draw := func(n int) float64 { return float64(int(rnd.Share()*float64(n))+1) / 2 }
+	draw := func(n int) float64 { return float64(int(rnd.Float64()*float64(n))+1) / 2 }
 	for n := range 400 {
 		var rungs []Rung
 		for range 2 + n%4 {
 			r := Rung{Rate: 10 * draw(20), Benefit: draw(5), Work: draw(8) / 100}
-			if rnd.Share() < 0.5 {
+			if rnd.Float64() < 0.5 {
 				r.Fetches = 1
 			}
 			rungs = append(rungs, r)
 		}
-		room := Room{rnd.Share() * 20, rnd.Share() * 300}
+		room := Room{rnd.Float64() * 20, rnd.Float64() * 300}
 		served, order := Ladder(rungs, room)
 		work, fetches, sum := 0.0, 0.0, 0.0
 		for i, r := range rungs {
--- a/decide/site/plan.go
+++ b/decide/site/plan.go
@@ -147,14 +147,14 @@
 		seats[i] = -1
 	}
 	for i, x := range caches {
-		seats[circle.Seat(x.ID, m, func(at int) bool { return seats[at] < 0 })] = i
+		seats[circle.AssignBucket(x.ID, m, func(at int) bool { return seats[at] < 0 })] = i
 		heaviest = max(heaviest, x.Weight)
 	}
 	keys, share = make([]int, sample), make([]float64, len(caches))
 	for n := range keys {
 		key := circle.Mix(uint64(n), 1)
 		for salt := uint64(0); ; salt++ {
-			if i := seats[c.At(key, salt)]; i >= 0 && float64(circle.Mix(key, ^salt)>>32) < caches[i].Weight/heaviest*(1<<32) || salt > 64*uint64(m) {
+			if i := seats[c.BucketFor(key, salt)]; i >= 0 && float64(circle.Mix(key, ^salt)>>32) < caches[i].Weight/heaviest*(1<<32) || salt > 64*uint64(m) {
 				keys[n] = max(i, 0)
 				break
 			}
--- a/decide/slowstart/slowstart.go
+++ b/decide/slowstart/slowstart.go
@@ -4,19 +4,19 @@
 
 // Ramp is a slow start: a server begins at a share of its capacity, and reaches all of it, evenly, after a span.
 type Ramp[T ~int64] struct {
-	From float64
-	Span T
+	InitialShare float64
+	Duration T
 }
 
 // Over tells whether a server's slow start is over; a start of 0 was long ago.
-func (r Ramp[T]) Over(start, now T) bool { return start == 0 || now-start >= r.Span }
+func (r Ramp[T]) Over(start, now T) bool { return start == 0 || now-start >= r.Duration }
 
 // Share is the part of its capacity that a server has reached, 0 to 1.
 func (r Ramp[T]) Share(start, now T) float64 {
 	if r.Over(start, now) {
 		return 1
 	}
-	return r.From + (1-r.From)*float64(max(now-start, 0))/float64(r.Span)
+	return r.InitialShare + (1-r.InitialShare)*float64(max(now-start, 0))/float64(r.Duration)
 }
 
 // Totals are sums over the servers that are in use: their weights and sizes, each by the share of its capacity that it has reached, and
@@ -43,17 +43,17 @@
 	s.totals.Size += size * share
 	s.totals.Answered += answered
 	if !s.ramp.Over(start, s.base) {
-		growth := (1 - s.ramp.From) / float64(s.ramp.Span)
+		growth := (1 - s.ramp.InitialShare) / float64(s.ramp.Duration)
 		s.slope.Weight += weight * growth
 		s.slope.Size += size * growth
 	}
 }
 
-// Answered books answers of a server that was added.
-func (s *Sums[T]) Answered(n float64) { s.totals.Answered += n }
+// AddAnswered books answers of a server that was added.
+func (s *Sums[T]) AddAnswered(n float64) { s.totals.Answered += n }
 
-// Forget takes all answers back: they are not known until the next Reset.
-func (s *Sums[T]) Forget() { s.totals.Answered = 0 }
+// ForgetAnswered takes all answers back: they are not known until the next Reset.
+func (s *Sums[T]) ForgetAnswered() { s.totals.Answered = 0 }
 
 // At gives the totals at a moment from the last Reset on.
 func (s *Sums[T]) At(now T) Totals {
--- a/decide/slowstart/slowstart_test.go
+++ b/decide/slowstart/slowstart_test.go
@@ -33,19 +33,19 @@
 		weights := 0.0
 		for i := range all {
 			all[i] = server{rapid.Float64Range(0.1, 8).Draw(t, "weight"), rapid.Float64Range(0.1, 8).Draw(t, "size"),
-				rapid.Float64Range(0, 1000).Draw(t, "answered"), rapid.SampledFrom([]int64{0, base - ramp.Span - 1, base - ramp.Span/2, base}).Draw(t, "start")}
+				rapid.Float64Range(0, 1000).Draw(t, "answered"), rapid.SampledFrom([]int64{0, base - ramp.Duration - 1, base - ramp.Duration/2, base}).Draw(t, "start")}
 			s.Add(all[i].weight, all[i].size, all[i].answered, all[i].start)
 			weights += all[i].weight
 		}
 		for range rapid.IntRange(0, 5).Draw(t, "answers") {
 			if len(all) > 0 {
 				all[0].answered++
-				s.Answered(1)
+				s.AddAnswered(1)
 			}
 		}
 		tick := rapid.Int64Range(0, 500).Draw(t, "tick")
 		got, want := s.At(base+tick), walked(ramp, all, base+tick)
-		grown := weights * (1 - ramp.From) * float64(tick) / float64(ramp.Span)
+		grown := weights * (1 - ramp.InitialShare) * float64(tick) / float64(ramp.Duration)
 		if got.Weight < want.Weight-1e-6 || got.Weight > want.Weight+grown+1e-6 || got.Size < want.Size-1e-6 {
 			t.Fatalf("%+v, a walk gives %+v", got, want)
 		}
@@ -60,7 +60,7 @@
 	var s Sums[int64]
 	s.Reset(Ramp[int64]{0.5, 100}, 0)
 	s.Add(1, 1, 30, 0)
-	if s.Forget(); s.At(0) != (Totals{1, 1, 0}) {
+	if s.ForgetAnswered(); s.At(0) != (Totals{1, 1, 0}) {
 		t.Errorf("%+v", s.At(0))
 	}
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -123,7 +123,7 @@
 	watch := discovery.New(c.Discovery, names, s.Policy.AskList, log)
 	watch.OnUpdate = e.UpdateList
 	watch.OriginKind = s.Policy.OriginKind
-	watch.Guard = roster.Guard[time.Duration]{Doubt: said.List.Doubt, Confirm: said.List.Confirm.D()}
+	watch.Guard = roster.Guard[time.Duration]{MaxMissingShare: said.List.Doubt, ConfirmAfter: said.List.Confirm.D()}
 	known, err := watch.LoadKnown(c.Known)
 	if err != nil {
 		return fmt.Errorf("known: %w", err)
--- a/internal/daemon/keeper.go
+++ b/internal/daemon/keeper.go
@@ -35,13 +35,13 @@
 }
 
 // take is what a process before this one has left; nil: nothing that can be used.
-func (k *keeper) take() *warm.Memory {
+func (k *keeper) take() *warm.LearnedState {
 	if k.shots == nil {
 		return nil
 	}
 	m, age, err := k.shots.Load(time.Now())
 	if err == nil {
-		k.log.Info().Dur("age", age).Int("caches", len(m.Caches)).Int("keys", len(m.Kept)).Msg("what was learned before is taken")
+		k.log.Info().Dur("age", age).Int("caches", len(m.Caches)).Int("keys", len(m.RecentKeys)).Msg("what was learned before is taken")
 	} else if !errors.Is(err, state.ErrNoSnapshot) {
 		k.log.Warn().Err(err).Msg("what was learned before is passed over")
 	}
--- a/internal/daemon/shifts.go
+++ b/internal/daemon/shifts.go
@@ -56,14 +56,14 @@
 	looks  int
 
 	mu      sync.Mutex
-	life    lifecycle.Life
+	life    lifecycle.Machine
 	turning bool // a goroutine turns the front
 }
 
 func newShifts(log zerolog.Logger, store *state.Store, o *operators.File) *shifts {
-	plan := lifecycle.Plan{Coming: tenths(stillComing), Over: tenths(overTo), Last: tenths(lastCommand), Turn: tenths(leaving),
-		Hand: tenths(o.Stop.Within.D()), Past: tenths(lastAnswer), Close: tenths(o.Stop.Close.D()), Spread: tenths(o.Stop.Spread.D())}
-	return &shifts{log: log, born: time.Now(), life: lifecycle.Life{Plan: plan}, store: store}
+	plan := lifecycle.Schedule{ListenFor: tenths(stillComing), ListenForWithSuccessor: tenths(overTo), AcceptCommandsFor: tenths(lastCommand), CloseInformedAfter: tenths(leaving),
+		AnswerOpenAfter: tenths(o.Stop.Within.D()), TTLMargin: tenths(lastAnswer), FlushTimeout: tenths(o.Stop.Close.D()), IdleCloseSpread: tenths(o.Stop.Spread.D())}
+	return &shifts{log: log, born: time.Now(), life: lifecycle.Machine{Schedule: plan}, store: store}
 }
 
 func tenths(d time.Duration) lifecycle.Time { return lifecycle.Time(d / (100 * time.Microsecond)) }
@@ -104,7 +104,7 @@
 
 func (s *shifts) serving(away bool) {
 	s.mu.Lock()
-	s.life.Listening(s.now(), away)
+	s.life.MarkListening(s.now(), away)
 	s.turnFront()
 	s.mu.Unlock()
 	if away {
@@ -162,7 +162,7 @@
 // retuned tells that other settings are in force.
 func (s *shifts) retuned(now settings.Settings) {
 	s.mu.Lock()
-	s.life.Longest(tenths(now.Longest()))
+	s.life.SetMaxTTL(tenths(now.Longest()))
 	s.mu.Unlock()
 	s.file.Lock()
 	defer s.file.Unlock()
@@ -187,7 +187,7 @@
 }
 
 // given waits for that, in the process that has come; nil: there is none before it, or nothing is known of it.
-func (s *shifts) given() *warm.Memory {
+func (s *shifts) given() *warm.LearnedState {
 	if s.store == nil {
 		return nil
 	}
@@ -203,9 +203,9 @@
 		s.log.Warn().Err(err).Msg("nothing was handed over")
 		return nil
 	}
-	h.Memory.Handed = true
-	if h.Memory.Keep = 1; h.Settings != s.print {
-		h.Memory.Apart()
+	h.Memory.HandedOver = true
+	if h.Memory.Confidence = 1; h.Settings != s.print {
+		h.Memory.DropSettingsDependent()
 	}
 	return &h.Memory
 }
@@ -282,7 +282,7 @@
 	var before state.Overrides
 	word := state.SiteOverride{Out: out, At: time.Now(), Over: over}
 	s.mu.Lock()
-	wasAway := !s.life.Yes()
+	wasAway := !s.life.Healthy()
 	s.mu.Unlock()
 	return s.say(func() error {
 		before, _ = s.store.Peek() // what can't be used is replaced
@@ -319,7 +319,7 @@
 
 func (s *shifts) sendAway(away bool) error {
 	s.mu.Lock()
-	was := !s.life.Yes()
+	was := !s.life.Healthy()
 	s.mu.Unlock()
 	return s.say(func() error { return s.turnAway(away) }, func() error { return s.turnAway(was) },
 		func(w *state.Overrides) { w.DrainClients = away })
@@ -327,7 +327,7 @@
 
 func (s *shifts) turnAway(away bool) error {
 	s.mu.Lock()
-	err := s.life.Send(s.now(), away)
+	err := s.life.SetLameDuck(s.now(), away)
 	s.turnFront()
 	s.mu.Unlock()
 	if err == nil && away {
@@ -339,7 +339,7 @@
 // turnFront tells the front what holds; the mutex is held.
 func (s *shifts) turnFront() {
 	now := s.now()
-	s.front.ApplyPhase(s.life.Phase(now), s.life.Yes(), s.life.Part(now))
+	s.front.ApplyPhase(s.life.ClosePolicy(now), s.life.Healthy(), s.life.IdleCloseShare(now))
 }
 
 // turns has a goroutine look after connections for as long as clients are sent away.
@@ -358,7 +358,7 @@
 		time.Sleep(turnEvery)
 		s.mu.Lock()
 		s.turnFront()
-		if s.life.State() != lifecycle.SentAway {
+		if s.life.State() != lifecycle.LameDuck {
 			s.turning = false
 			s.mu.Unlock()
 			return
@@ -396,10 +396,10 @@
 		default:
 		}
 		if listening {
-			s.life.Successor(successor)
+			s.life.SetSuccessor(successor)
 		}
 		now := s.now()
-		due, listens := s.life.Due(now), s.life.Listens(now)
+		due, listens := s.life.Advance(now), s.life.Accepting(now)
 		s.turnFront()
 		s.mu.Unlock()
 		if listening && !listens {
@@ -409,7 +409,7 @@
 				close(closed)
 			}()
 		}
-		if due == lifecycle.HandBack {
+		if due == lifecycle.AnswerOpen {
 			if err := s.engine.AnswerAllOpen(giveBack); err != nil {
 				s.log.Error().Err(err).Msg("what is open was not handed back")
 			}
@@ -420,9 +420,9 @@
 		default:
 			left = 1 // who stands in the queue is not counted yet
 		}
-		if left == 0 || due == lifecycle.End {
+		if left == 0 || due == lifecycle.Exit {
 			s.mu.Lock()
-			s.life.Empty()
+			s.life.MarkEmpty()
 			s.mu.Unlock()
 			return left
 		}
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -375,7 +375,7 @@
 		return ""
 	}, func(w *Watch) {
 		w.OriginKind = 1
-		w.Guard = roster.Guard[time.Duration]{Doubt: 0.5, Confirm: 100 * time.Millisecond}
+		w.Guard = roster.Guard[time.Duration]{MaxMissingShare: 0.5, ConfirmAfter: 100 * time.Millisecond}
 	})
 	for i, want := range []string{"0 a0 b0 c0 d0", "1 o0", "1 a1 e0", "0 a0 b0 c0 d0", "1 a0", "1 a0", "0 a0"} {
 		got := hear(t, tells)
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -160,7 +160,7 @@
 		if errors.Is(err, errHeld) {
 			version, back = nil, backOff
 			select {
-			case <-time.After(w.Guard.Confirm / 2):
+			case <-time.After(w.Guard.ConfirmAfter / 2):
 			case <-call.Done():
 			}
 			done()
@@ -219,8 +219,8 @@
 			lacks++
 		}
 	}
-	was := w.Guard.Held()
-	held := w.Guard.Whole(time.Since(w.began), len(w.used), lacks, named) == roster.Hold
+	was := w.Guard.Holding()
+	held := w.Guard.Evaluate(time.Since(w.began), len(w.used), lacks, named) == roster.Hold
 	if held && !was {
 		w.held.Add(1)
 		w.Log.Warn().Int("lacks", lacks).Int("of", len(w.used)).Msg("the list lacks too many caches at once; they stay, and it is asked for again")
--- a/internal/engine/behind.go
+++ b/internal/engine/behind.go
@@ -59,7 +59,7 @@
 	b.engine.StallMonitor.Beat(now) // the process runs, it is only the engine that does not come to its beat
 	lag := b.engine.lag(now)
 	if b.seen {
-		b.answer(func(o *Op) overload.Action { return overload.For(o.standing(now), overload.Time(lag)) })
+		b.answer(func(o *Op) overload.Action { return overload.Decide(o.standing(now), overload.Time(lag)) })
 	}
 	b.seen = lag >= lookAfter
 	b.timer.Reset(lookEvery)
@@ -68,7 +68,7 @@
 // answerAll answers all that is open, as the process ends and the engine does not come to it. It gives how many that were.
 func (b *behind) answerAll() int {
 	now := time.Now()
-	return b.answer(func(o *Op) overload.Action { return overload.AtEnd(o.standing(now)) })
+	return b.answer(func(o *Op) overload.Action { return overload.DecideAtShutdown(o.standing(now)) })
 }
 
 // Remaining is how long its client still waits, by the client's own word; any goroutine may ask once it is submitted.
@@ -76,8 +76,8 @@
 
 // standing is how an op stands, for the decision what is done for it.
 func (o *Op) standing(now time.Time) overload.Request {
-	return overload.Request{Waited: overload.Time(now.Sub(o.ReceivedAt)), Left: overload.Time(o.Remaining(now)),
-		Begun: progress(o.progress.Load()) == opBegun, Answered: o.came.Load() != nil}
+	return overload.Request{Waited: overload.Time(now.Sub(o.ReceivedAt)), Remaining: overload.Time(o.Remaining(now)),
+		Attempted: progress(o.progress.Load()) == opBegun, Answered: o.came.Load() != nil}
 }
 
 // answer answers the ops for which something is done.
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -37,7 +37,7 @@
 	// What another process hands over, by the caches' names.
 	CachesOut  []string             // out by an operator's word
 	ReturnedAt map[string]time.Time // were so until then, and have been cold since
-	Memory     *warm.Memory         // what was learned; nil: nothing
+	Memory     *warm.LearnedState         // what was learned; nil: nothing
 
 	Sites map[int]SiteOverride // what operators said of whole zones
 }
@@ -149,7 +149,7 @@
 		// Danger: the list as last had may be older than what was known at the last end, and name a cache in use that drains.
 		// Its next word on that counts again.
 		for i, m := range known {
-			if start, ok := e.Memory.Left[m.Name]; ok && int64(m.Start) <= start && m.State == policy.Ready {
+			if start, ok := e.Memory.Departed[m.Name]; ok && int64(m.Start) <= start && m.State == policy.Ready {
 				known[i].State = policy.Draining
 			}
 		}
@@ -270,7 +270,7 @@
 		e.bytes.Add(-size)
 		return ErrFull
 	}
-	if now := time.Now(); overload.TurnAway(overload.Time(e.lag(now)), overload.Time(o.Request.Deadline.Remaining(now))) {
+	if now := time.Now(); overload.ShouldReject(overload.Time(e.lag(now)), overload.Time(o.Request.Deadline.Remaining(now))) {
 		e.ops.Add(-1)
 		e.bytes.Add(-size)
 		e.behind.TurnedAway.Add(1)
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -524,8 +524,8 @@
 	if a, b := sum(e), sum(next); a+b < 20 || a+b > 24 || b < 10 {
 		t.Errorf("%v and %v of 20", a, b)
 	}
-	other := warm.Memory{Keep: 1, Caches: map[uint32]warm.Server{1: {Name: "another", Of: evidence.Record{Sent: evidence.Window{5}, Limit: 3}},
-		2: {Name: "cache2", Start: 7, Of: evidence.Record{Sent: evidence.Window{5}, Limit: 3}}}}
+	other := warm.LearnedState{Confidence: 1, Caches: map[uint32]warm.ServerState{1: {Name: "another", Record: evidence.Record{Sent: evidence.Window{5}, Limit: 3}},
+		2: {Name: "cache2", Start: 7, Record: evidence.Record{Sent: evidence.Window{5}, Limit: 3}}}}
 	next, _ = play(t, func(o *Options) { o.Memory = &other })
 	if b := sum(next); b != 0 {
 		t.Errorf("%v taken over of other caches", b)
@@ -698,7 +698,7 @@
 
 // Danger: a list that is older than the last end names a cache in use that was draining by then.
 func TestDrainsOutliveARestart(t *testing.T) {
-	e, s := play(t, func(o *Options) { o.Memory = &warm.Memory{Keep: 1, Left: map[string]int64{"cache1": 0, "cache2": -1}} })
+	e, s := play(t, func(o *Options) { o.Memory = &warm.LearnedState{Confidence: 1, Departed: map[string]int64{"cache1": 0, "cache2": -1}} })
 	for i := range 20 {
 		o := s.op(fmt.Sprint("op", i), 0)
 		o.Key = uint64(i + 1)
--- a/internal/engine/out.go
+++ b/internal/engine/out.go
@@ -60,33 +60,33 @@
 }
 
 // Learned copies out what was learned. The file that it goes to is another goroutine's: this one must not wait for a disk.
-func (e *Engine) Learned(span time.Duration) (m warm.Memory, err error) {
+func (e *Engine) Learned(span time.Duration) (m warm.LearnedState, err error) {
 	err = e.ahead(span, func() error { m = e.learned(); return nil })
 	return m, err
 }
 
 // Handover gives a half of what may be sent to caches, and all that was learned, to another process.
-func (e *Engine) Handover(span time.Duration) (m warm.Memory, err error) {
+func (e *Engine) Handover(span time.Duration) (m warm.LearnedState, err error) {
 	err = e.ahead(span, func() error {
 		m = e.learned()
 		m.Halve()
 		for id, s := range m.Caches {
-			*e.module.Record(id) = s.Of // both have the other half
+			*e.module.Record(id) = s.Record // both have the other half
 		}
 		return nil
 	})
 	return m, err
 }
 
-func (e *Engine) learned() warm.Memory {
+func (e *Engine) learned() warm.LearnedState {
 	m := e.module.Learned()
-	m.Left = map[string]int64{}
+	m.Departed = map[string]int64{}
 	for name, start := range e.left {
-		m.Left[name] = int64(start)
+		m.Departed[name] = int64(start)
 	}
 	for _, s := range e.servers {
 		if s.member.State == policy.Draining {
-			m.Left[s.member.Name] = int64(s.start)
+			m.Departed[s.member.Name] = int64(s.start)
 		}
 	}
 	for id, s := range m.Caches {
--- a/internal/engine/types.go
+++ b/internal/engine/types.go
@@ -139,7 +139,7 @@
 	Retune(s policy.Settings)
 	HandBack(id uint32)
 	Record(cache uint32) *evidence.Record
-	Learned() warm.Memory
-	Recall(m warm.Memory)
+	Learned() warm.LearnedState
+	Recall(m warm.LearnedState)
 	Judged() policy.Counts
 }
--- a/internal/front/closing_test.go
+++ b/internal/front/closing_test.go
@@ -89,9 +89,9 @@
 			chosen.makeWay()
 		}
 	},
-	"as clients are sent away": func(f *Server) { f.ApplyPhase(lifecycle.Asked, false, 0) },
-	"as the process ends":      func(f *Server) { f.ApplyPhase(lifecycle.All, true, 0) },
-	"as one that nobody uses":  func(f *Server) { f.ApplyPhase(lifecycle.Keep, true, 1) },
+	"as clients are sent away": func(f *Server) { f.ApplyPhase(lifecycle.CloseInformed, false, 0) },
+	"as the process ends":      func(f *Server) { f.ApplyPhase(lifecycle.CloseAll, true, 0) },
+	"as one that nobody uses":  func(f *Server) { f.ApplyPhase(lifecycle.KeepOpen, true, 1) },
 }
 
 // Danger: an answer has left the table of open requests, and is not written yet: the connection looks as if nothing was owed on it.
@@ -177,7 +177,7 @@
 	c.send(get("a"))
 	wait(t, e.taken).Reply.Acked([]byte("v"))
 	c.want("$1", "v")
-	f.ApplyPhase(lifecycle.All, true, 0)
+	f.ApplyPhase(lifecycle.CloseAll, true, 0)
 	c.want("EOF")
 	c.send(get("late"))
 	until(t, "a reset", func() bool { return socketError(t, c.Conn) == syscall.EPIPE })
--- a/internal/front/endings_test.go
+++ b/internal/front/endings_test.go
@@ -43,7 +43,7 @@
 		stop func(t *testing.T, f *Server, c *client)
 	}{
 		"its connection is to end": {3, func(t *testing.T, f *Server, c *client) {
-			f.ApplyPhase(lifecycle.All, true, 0)
+			f.ApplyPhase(lifecycle.CloseAll, true, 0)
 			until(t, "stopped", func() bool { return f.only(func(c *conn) bool { return c.unread }) })
 			c.send(get("crossing"))
 		}},
@@ -179,7 +179,7 @@
 	c := dial(t, f)
 	c.send(get("a"))
 	o := wait(t, e.taken)
-	f.ApplyPhase(lifecycle.All, true, 0)
+	f.ApplyPhase(lifecycle.CloseAll, true, 0)
 	until(t, "stopped", func() bool { return f.only(func(c *conn) bool { return c.unread }) })
 	c.send(strings.Repeat(get("crossing"), 500))
 	o.Reply.Acked([]byte("v"))
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -139,10 +139,10 @@
 
 // ApplyPhase says what becomes of connections, and whether PING says no. It is called again and again, and ends connections that
 // are due: each as soon as all that was read on it is answered. part of those that are not used end in any phase.
-func (f *Server) ApplyPhase(phase lifecycle.Phase, yes bool, part float64) {
+func (f *Server) ApplyPhase(phase lifecycle.ClosePolicy, yes bool, part float64) {
 	f.away.Store(!yes)
 	f.phase.Store(int32(phase))
-	if phase < lifecycle.Asked && part <= 0 {
+	if phase < lifecycle.CloseInformed && part <= 0 {
 		return
 	}
 	f.mu.Lock()
@@ -153,7 +153,7 @@
 	f.mu.Unlock()
 	born := time.Now().Add(-newcomer)
 	for _, c := range conns {
-		if phase == lifecycle.All || phase == lifecycle.Asked && c.old(born) || c.place < part && c.unused() {
+		if phase == lifecycle.CloseAll || phase == lifecycle.CloseInformed && c.old(born) || c.place < part && c.unused() {
 			c.finish()
 		}
 	}
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -582,7 +582,7 @@
 	time.Sleep(400 * time.Millisecond)
 	f.Close()
 	for late := time.Now().Add(patience); f.OpenConns() > 0; time.Sleep(10 * time.Millisecond) {
-		if f.ApplyPhase(lifecycle.All, true, 0); time.Now().After(late) {
+		if f.ApplyPhase(lifecycle.CloseAll, true, 0); time.Now().After(late) {
 			t.Fatalf("%d connections left", f.OpenConns())
 		}
 	}
@@ -614,7 +614,7 @@
 	for _, part := range []float64{0.25, 0.5, 1} {
 		want := len(idle) - int(part*float64(len(idle)))
 		for late := time.Now().Add(patience); f.OpenConns() > want+1+3; time.Sleep(5 * time.Millisecond) {
-			if f.ApplyPhase(lifecycle.Answered, true, part); time.Now().After(late) {
+			if f.ApplyPhase(lifecycle.CloseAfterReply, true, part); time.Now().After(late) {
 				t.Fatalf("%d open at %v", f.OpenConns(), part)
 			}
 		}
--- a/internal/front/writer.go
+++ b/internal/front/writer.go
@@ -62,7 +62,7 @@
 		}
 		c.mu.Lock()
 		c.writing = false
-		if lifecycle.Phase(c.front.phase.Load()) >= lifecycle.Answered && len(c.slots) == 0 && len(out) > 0 {
+		if lifecycle.ClosePolicy(c.front.phase.Load()) >= lifecycle.CloseAfterReply && len(c.slots) == 0 && len(out) > 0 {
 			// Right behind an answer the client is least likely to be writing: what crosses the end is left unread.
 			c.endReading()
 		}
--- a/internal/state/snapshot.go
+++ b/internal/state/snapshot.go
@@ -27,7 +27,7 @@
 type snapshot struct {
 	At       time.Time   `json:"at"`
 	Settings string      `json:"settings"`
-	Memory   warm.Memory `json:"memory"`
+	Memory   warm.LearnedState `json:"memory"`
 }
 
 // ErrNoSnapshot means that there is no snapshot.
@@ -53,7 +53,7 @@
 
 // Load reads what a process before this one has left, as far as it counts by now. ErrNone: there is nothing; any other error
 // tells why what is there is not used.
-func (s *SnapshotFile) Load(now time.Time) (m *warm.Memory, age time.Duration, err error) {
+func (s *SnapshotFile) Load(now time.Time) (m *warm.LearnedState, age time.Duration, err error) {
 	var shot snapshot
 	if err := read(s.path, s.proxy, longestMemory, &shot); errors.Is(err, fs.ErrNotExist) {
 		return nil, 0, ErrNoSnapshot
@@ -73,7 +73,7 @@
 	}
 	age = max(age, 0)
 	const unit = 100 * time.Microsecond
-	shot.Memory.Fade(int64(age/unit), int64(s.HalfLife/unit), int64(s.KeyWindow/unit))
+	shot.Memory.Decay(int64(age/unit), int64(s.HalfLife/unit), int64(s.KeyWindow/unit))
 	return &shot.Memory, age, nil
 }
 
@@ -103,7 +103,7 @@
 func (s *SnapshotFile) Due(now time.Time) bool { return !now.Before(s.next) && s.AcquireWriteLock() }
 
 // Write puts what was learned in the place of what was there. first: the first failure in a row, which is worth a word.
-func (s *SnapshotFile) Write(m warm.Memory, now time.Time, every time.Duration) (first bool, err error) {
+func (s *SnapshotFile) Write(m warm.LearnedState, now time.Time, every time.Duration) (first bool, err error) {
 	if err = write(s.path, s.proxy, snapshot{now, s.settings, m}); err != nil {
 		s.next = now.Add(every << min(s.failed, mostDoubled))
 		s.failed++
--- a/internal/state/snapshot_test.go
+++ b/internal/state/snapshot_test.go
@@ -25,7 +25,7 @@
 		t.Errorf("%v, or written too often", err)
 	}
 	m, age, err := shots(dir, "one").Load(now.Add(5 * time.Second))
-	if err != nil || age != 5*time.Second || len(m.Kept) > 0 || m.Caches[7].Of.Sent.Sum() != 4 || m.Caches[7].Of.Done.Sum() != 0 {
+	if err != nil || age != 5*time.Second || len(m.RecentKeys) > 0 || m.Caches[7].Record.Sent.Sum() != 4 || m.Caches[7].Record.Done.Sum() != 0 {
 		t.Errorf("%+v, %v old, %v", m, age, err)
 	}
 	for want, take := range map[string]func() error{
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -186,7 +186,7 @@
 type Handover struct {
 	At       time.Time   `json:"at"`
 	Settings string      `json:"settings"` // that it was learned under, in short
-	Memory   warm.Memory `json:"memory"`
+	Memory   warm.LearnedState `json:"memory"`
 }
 
 const fresh = 2 * time.Second // what is older says little of the present
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -98,10 +98,10 @@
 	}
 }
 
-var learned = warm.Memory{Caches: map[uint32]warm.Server{7: {Name: "s-1", Start: 5, Seen: []float64{0, 8},
-	Of: evidence.Record{Sent: evidence.Window{3, 1}, Done: evidence.Window{9}, Limit: 2.5, Good: 8}}}, Usual: []float64{1, 2},
-	Kept: []uint64{1 << 63, 5}, Hot: []warm.Hot{{Key: 9, Count: 4}}, Asked: 100, Tokens: []float64{-3, 4},
-	Waits: []warm.Wait{{Span: 500, Votes: 8}}, Kinds: []warm.Kind{{Slower: 0.5, Mean: 3, Seen: 9, Pace: 20}}}
+var learned = warm.LearnedState{Caches: map[uint32]warm.ServerState{7: {Name: "s-1", Start: 5, LatencyBins: []float64{0, 8},
+	Record: evidence.Record{Sent: evidence.Window{3, 1}, Done: evidence.Window{9}, Limit: 2.5, Good: 8}}}, LatencyBins: []float64{1, 2},
+	RecentKeys: []uint64{1 << 63, 5}, HotKeys: []warm.HotKey{{Key: 9, Count: 4}}, KeyRequests: 100, Tokens: []float64{-3, 4},
+	ClientTimeouts: []warm.ClientTimeout{{Timeout: 500, Votes: 8}}, Kinds: []warm.MachineKind{{OctavesSlower: 0.5, MeanLog2: 3, Samples: 9, ReportBaseline: 20}}}
 
 func TestHand(t *testing.T) {
 	dir := t.TempDir()
@@ -116,7 +116,7 @@
 	}
 	time.AfterFunc(20*time.Millisecond, func() { give(time.Now()) })
 	h, err := next.AwaitHandover(10 * time.Second)
-	if r := h.Memory.Caches[7].Of; err != nil || r.Sent.Sum() != 4 || r.Limit != 2.5 {
+	if r := h.Memory.Caches[7].Record; err != nil || r.Sent.Sum() != 4 || r.Limit != 2.5 {
 		t.Errorf("%+v %v", h, err)
 	}
 	if _, err := next.AwaitHandover(10 * time.Millisecond); err == nil {
--- a/lab/baseline/baseline.go
+++ b/lab/baseline/baseline.go
@@ -169,10 +169,10 @@
 func (r *Rule) Record(uint32) *evidence.Record { return &evidence.Record{} }
 
 // Learned is nothing.
-func (r *Rule) Learned() warm.Memory { return warm.Memory{} }
+func (r *Rule) Learned() warm.LearnedState { return warm.LearnedState{} }
 
 // Recall takes nothing.
-func (r *Rule) Recall(warm.Memory) {}
+func (r *Rule) Recall(warm.LearnedState) {}
 
 // HandBack answers an op as the process ends.
 func (r *Rule) HandBack(id uint32) {
--- a/policy/candidates.go
+++ b/policy/candidates.go
@@ -91,7 +91,7 @@
 func (w *candidateWalk) step() {
 	b, salt := w.b, w.salt
 	w.salt++
-	c := b.seats.At(b.circle.At(w.key, salt))
+	c := b.seats.At(b.circle.BucketFor(w.key, salt))
 	if c == nil || c.walk == w.number || !b.takes(c, w.key, ^salt) {
 		return
 	}
--- a/policy/health.go
+++ b/policy/health.go
@@ -6,8 +6,8 @@
 type failureShares = evidence.Median
 
 // failureShare is the place of a cache's share among all.
-func (c *cache) failureShare() evidence.MedianPart {
-	return evidence.PartOf(c.Bad / max(c.Good+c.Bad, 1))
+func (c *cache) failureShare() evidence.MedianBin {
+	return evidence.MedianBinOf(c.Bad / max(c.Good+c.Bad, 1))
 }
 
 // judged books what an attempt's end says of its cache's health.
@@ -22,12 +22,12 @@
 
 // sick tells whether a cache's share of failures stands out against the fleet's median.
 func (b *Balancer) sick(c *cache) bool {
-	return c.Bad >= 3 && b.failures.Outlier(c.Bad/(c.Good+c.Bad))
+	return c.Bad >= 3 && b.failures.IsOutlier(c.Bad/(c.Good+c.Bad))
 }
 
 // suspect lets a cache be passed over until this proxy's next few pushes there would come.
 func (b *Balancer) suspect(c *cache) {
-	c.doubt.Begin(b.host.Now(), min(Time(doubts*b.gap*float64(b.ranked.Len())), 64*b.shortest))
+	c.doubt.Raise(b.host.Now(), min(Time(doubts*b.gap*float64(b.ranked.Len())), 64*b.shortest))
 }
 
 // suspend rests a cache, longer each time until it answers, lest one that stands still is fed a share of ops.
--- a/policy/learned.go
+++ b/policy/learned.go
@@ -13,16 +13,16 @@
 // learned is what a process that follows may go by, beside the records of caches. This file copies it out and
 // in; it decides on no op.
 type learned struct {
-	kept   heat.Kept                      // keys answered lately
-	hot    heat.Keys                      // asked for lately
-	tries  map[[2]int]evidence.Wait[Time] // by category and tenant
+	kept   heat.RecentKeys                      // keys answered lately
+	hot    heat.KeyCounter                      // asked for lately
+	tries  map[[2]int]evidence.ClientTimeout[Time] // by category and tenant
 	speeds map[int]*evidence.Speed        // of kinds of machine
-	paces  evidence.Paces                 // their usual reports
+	paces  evidence.ReportBaselines                 // their usual reports
 }
 
 func nothing() learned {
-	return learned{tries: map[[2]int]evidence.Wait[Time]{}, speeds: map[int]*evidence.Speed{},
-		paces: evidence.Paces{}}
+	return learned{tries: map[[2]int]evidence.ClientTimeout[Time]{}, speeds: map[int]*evidence.Speed{},
+		paces: evidence.ReportBaselines{}}
 }
 
 // Judged is what the module has judged since its start.
@@ -31,84 +31,84 @@
 // Record is what was sent to a cache, and learned of it; nil: it is not known.
 func (b *Balancer) Record(id uint32) *evidence.Record {
 	b.staleSums = true
-	b.sums.Forget() // the caller may change it; until the next tick no slow start is given more than without history
+	b.sums.ForgetAnswered() // the caller may change it; until the next tick no slow start is given more than without history
 	if c := b.caches.Get(id); c != nil {
 		return &c.Record
 	}
 	return nil
 }
 
-func remember(c *cache) warm.Server {
+func remember(c *cache) warm.ServerState {
 	if c == nil {
-		return warm.Server{}
+		return warm.ServerState{}
 	}
-	return warm.Server{Start: int64(c.Start), Cut: c.cutAt != 0, Near: int64(c.near), Seen: c.span.Seen(),
-		Of: c.Record}
+	return warm.ServerState{Start: int64(c.Start), LimitCut: c.cutAt != 0, MinLatency: int64(c.near), LatencyBins: c.span.Snapshot(),
+		Record: c.Record}
 }
 
 // Learned copies out what was learned. Names of servers are the host's to fill in.
-func (b *Balancer) Learned() warm.Memory {
-	m := warm.Memory{Caches: map[uint32]warm.Server{}, Origin: remember(b.origin), Shadow: remember(b.shadow),
-		Usual: b.all.span.Seen(), Kept: b.kept.Recent(warm.MostKeys)}
+func (b *Balancer) Learned() warm.LearnedState {
+	m := warm.LearnedState{Caches: map[uint32]warm.ServerState{}, Origin: remember(b.origin), Shadow: remember(b.shadow),
+		LatencyBins: b.all.span.Snapshot(), RecentKeys: b.kept.Current(warm.MaxKeys)}
 	for id, c := range b.caches.All() {
 		if c.listed && c != b.origin {
 			m.Caches[id] = remember(c)
 		}
 	}
-	hot, asked := b.hot.Counts()
+	hot, asked := b.hot.Snapshot()
 	for _, key := range slices.Sorted(maps.Keys(hot)) {
-		m.Hot = append(m.Hot, warm.Hot{Key: key, Count: hot[key]})
+		m.HotKeys = append(m.HotKeys, warm.HotKey{Key: key, Count: hot[key]})
 	}
-	m.Asked = asked
+	m.KeyRequests = asked
 	for at, w := range b.tries {
-		span, votes := w.Seen()
-		m.Waits = append(m.Waits, warm.Wait{Category: at[0], Tenant: at[1], Span: int64(span), Votes: votes})
+		span, votes := w.Snapshot()
+		m.ClientTimeouts = append(m.ClientTimeouts, warm.ClientTimeout{Category: at[0], Tenant: at[1], Timeout: int64(span), Votes: votes})
 	}
 	for i := range b.Quotas { // behind them is who has no share, and no end of tokens
 		m.Tokens = append(m.Tokens, b.tenants[i].tokens)
 	}
 	for kind, s := range b.speeds {
-		mean, n := s.Seen()
-		m.Kinds = append(m.Kinds, warm.Kind{Kind: kind, Slower: s.Slower, Mean: mean, Seen: n, Pace: b.paces[kind]})
+		mean, n := s.Snapshot()
+		m.Kinds = append(m.Kinds, warm.MachineKind{Kind: kind, OctavesSlower: s.OctavesSlower, MeanLog2: mean, Samples: n, ReportBaseline: b.paces[kind]})
 	}
 	return m
 }
 
 // Recall takes what another process learned, once, right behind the first list and before the first op. What
 // a rule hangs on is never better than at a start that knows nothing: see warm.Memory.Fade.
-func (b *Balancer) Recall(m warm.Memory) {
-	take := func(c *cache, s warm.Server) {
-		limit := m.Blend(c.Limit, s.Of.Limit)
-		if !m.Handed && c != b.origin && c != b.shadow && b.share(c, b.host.Now()) < 1 {
+func (b *Balancer) Recall(m warm.LearnedState) {
+	take := func(c *cache, s warm.ServerState) {
+		limit := m.Blend(c.Limit, s.Record.Limit)
+		if !m.HandedOver && c != b.origin && c != b.shadow && b.share(c, b.host.Now()) < 1 {
 			limit = min(limit, c.Limit) // a cold cache is not trusted with more
 		}
-		c.Record, c.span, c.near = s.Of, evidence.Recalled(s.Seen), Time(s.Near)
-		if c.Limit = limit; s.Cut {
+		c.Record, c.span, c.near = s.Record, evidence.RestoreHistogram(s.LatencyBins), Time(s.MinLatency)
+		if c.Limit = limit; s.LimitCut {
 			c.cutAt = max(b.host.Now(), 1)
 		}
 	}
 	for id, s := range m.Caches {
 		// Danger: a new process is cold, and may be well where the old one failed.
-		if c := b.caches.Get(id); c != nil && c != b.origin && c.listed && int64(c.Start) == s.Start && s.Of.Limit > 0 {
+		if c := b.caches.Get(id); c != nil && c != b.origin && c.listed && int64(c.Start) == s.Start && s.Record.Limit > 0 {
 			take(c, s)
 		}
 	}
-	if b.origin != nil && m.Origin.Of.Limit > 0 {
+	if b.origin != nil && m.Origin.Record.Limit > 0 {
 		take(b.origin, m.Origin)
 	}
-	if b.shadow != nil && m.Shadow.Of.Limit > 0 {
+	if b.shadow != nil && m.Shadow.Record.Limit > 0 {
 		take(b.shadow, m.Shadow)
 	}
-	b.all.span = evidence.Recalled(m.Usual)
-	b.kept.Recall(m.Kept)
+	b.all.span = evidence.RestoreHistogram(m.LatencyBins)
+	b.kept.Restore(m.RecentKeys)
 	hot := map[uint64]float64{}
-	for _, h := range m.Hot {
+	for _, h := range m.HotKeys {
 		hot[h.Key] = h.Count
 	}
-	b.hot.Recall(hot, m.Asked)
-	for _, w := range m.Waits {
+	b.hot.Restore(hot, m.KeyRequests)
+	for _, w := range m.ClientTimeouts {
 		if w.Category < len(b.kinds) && w.Tenant < len(b.tenants) {
-			b.tries[[2]int{w.Category, w.Tenant}] = evidence.RecalledWait(Time(w.Span), w.Votes)
+			b.tries[[2]int{w.Category, w.Tenant}] = evidence.RestoreClientTimeout(Time(w.Timeout), w.Votes)
 		}
 	}
 	for i := range b.Quotas { // what was spent stays so, and is earned again over time: no restart fills it up
@@ -118,10 +118,10 @@
 	}
 	for _, k := range m.Kinds {
 		if b.speeds[k.Kind] != nil {
-			b.speeds[k.Kind] = evidence.RecalledSpeed(k.Slower, k.Mean, k.Seen)
+			b.speeds[k.Kind] = evidence.RestoreSpeed(k.OctavesSlower, k.MeanLog2, k.Samples)
 		}
-		if k.Pace > 0 {
-			b.paces[k.Kind] = k.Pace
+		if k.ReportBaseline > 0 {
+			b.paces[k.Kind] = k.ReportBaseline
 		}
 	}
 	b.seat() // by the speeds: else its keys would live elsewhere than with its peers
--- a/policy/learned_test.go
+++ b/policy/learned_test.go
@@ -11,7 +11,7 @@
 )
 
 // played is a proxy after some traffic, with two cold caches among its own, and what it leaves to the next.
-func played(t *testing.T, r *rapid.T) (*world, []Entry, warm.Memory) {
+func played(t *testing.T, r *rapid.T) (*world, []Entry, warm.LearnedState) {
 	w := &world{t: t, now: 1e6, seed: rapid.Uint64().Draw(r, "seed"), counts: map[string]int{}, pushes: map[uint32]int{},
 		auto: map[string]answer{"*": {outcome: "acked", after: 20}, "2": {outcome: "timeout"}, "3": {outcome: "miss", after: 20}, "9": {outcome: "acked", after: 90}}}
 	w.s = Settings{Proxies: rapid.IntRange(1, 40).Draw(r, "proxies"), OriginKind: 1, ColdFrom: 0.5, WarmUp: 100000,
@@ -29,14 +29,14 @@
 	if err != nil {
 		r.Fatal(err)
 	}
-	var m warm.Memory
+	var m warm.LearnedState
 	if err := json.Unmarshal(text, &m); err != nil || m.Check() != nil {
 		r.Fatal(err, m.Check())
 	}
 	return w, entries, m
 }
 
-func begun(w *world, entries []Entry, m *warm.Memory) *Balancer {
+func begun(w *world, entries []Entry, m *warm.LearnedState) *Balancer {
 	b := New(w.s, w.seed+1, w)
 	b.ListArrived(ListCached, entries)
 	if m != nil {
@@ -50,7 +50,7 @@
 	rapid.Check(t, func(r *rapid.T) {
 		w, entries, m := played(t, r)
 		age := rapid.Int64Range(0, 300000).Draw(r, "age")
-		m.Fade(age, 100000, 40000)
+		m.Decay(age, 100000, 40000)
 		w.now += Time(age)
 		if rapid.Bool().Draw(r, "replaced") {
 			entries[1].Start = w.now // the one that failed
@@ -85,30 +85,30 @@
 	rapid.Check(t, func(r *rapid.T) {
 		w, entries, m := played(t, r)
 		old, fresh := w.b, begun(w, entries, nil)
-		m.Fade(rapid.Int64Range(0, 1).Draw(r, "one")*1e7, 100000, 40000)
+		m.Decay(rapid.Int64Range(0, 1).Draw(r, "one")*1e7, 100000, 40000)
 		b := begun(w, entries, &m)
 		for id, c := range b.caches.All() {
 			want := old.caches.Get(id)
-			if m.Keep < 0.5 {
+			if m.Confidence < 0.5 {
 				want = fresh.caches.Get(id)
 			}
 			if limit := want.Limit; b.share(c, w.now) >= 1 && math.Abs(c.Limit-limit) > 1e-9*limit {
 				r.Errorf("limit of %d is %v, not %v", id, c.Limit, limit)
 			}
 		}
-		if m.Keep == 1 {
-			if b.speeds[0].Slower != old.speeds[0].Slower || b.usually(&b.all) != old.usually(&old.all) || b.tries[[2]int{}] != old.tries[[2]int{}] {
+		if m.Confidence == 1 {
+			if b.speeds[0].OctavesSlower != old.speeds[0].OctavesSlower || b.usually(&b.all) != old.usually(&old.all) || b.tries[[2]int{}] != old.tries[[2]int{}] {
 				r.Errorf("%+v, was %+v", b.learned, old.learned)
 			}
-			for _, key := range old.kept.Recent(1000) {
-				if !b.kept.Has(key) {
+			for _, key := range old.kept.Current(1000) {
+				if !b.kept.Contains(key) {
 					r.Errorf("key %d is not known", key)
 				}
 			}
-			if got, was := b.hot.Asked(1<<33, false), old.hot.Asked(1<<33, false); got != was {
+			if got, was := b.hot.Observe(1<<33, false), old.hot.Observe(1<<33, false); got != was {
 				r.Errorf("a hot key has %v, was %v", got, was)
 			}
-		} else if b.kept.Has(1<<33) || b.all.span.Enough() {
+		} else if b.kept.Contains(1<<33) || b.all.span.HasEnoughSamples() {
 			r.Error("what is old is known")
 		}
 	})
@@ -124,7 +124,7 @@
 		entries = append(entries, Entry{ID: id + 1, Weight: 1})
 	}
 	w.b.ListArrived(ListCached, entries)
-	for key := range uint64(warm.MostKeys) {
+	for key := range uint64(warm.MaxKeys) {
 		w.b.kept.Add(key)
 	}
 	for b.Loop() {
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -30,7 +30,7 @@
 const (
 	slack, spareSeats     = 4, 256              // s0 of the design; seats to it, at least: a fleet grows
 	candidates, doubts    = 3, 2                // caches a key may go to; pushes for which one is passed over
-	quarters              = evidence.Quarters   // four of the cold window, and the one begun
+	quarters              = evidence.WindowSlots   // four of the cold window, and the one begun
 	missWork              = 1.0 / 3             // of an answer's work
 	firstLimit            = 12                  // in flight to a cache from all proxies, nothing learned yet
 	leastTokens, mostNews = 4, 32 * 8           // a share split among many still fills; bytes in a message
@@ -52,16 +52,16 @@
 	size                 float64                    // weight, by its kind's speed
 	cutAt, sentAt, near  Time                       // limit last fell; last push; least that an answer takes
 	rest, restUntil      Time                       // the last rest, 0 once it has answered; not ready before
-	by                   evidence.Shares[*Category] // answers and failures
-	span                 evidence.Spans             // how long its answers take, in ticks
-	doubt                fleet.Doubt[Time]          // passed over while another candidate is beyond it
+	by                   evidence.OutcomeCounts[*Category] // answers and failures
+	span                 evidence.LatencyHistogram             // how long its answers take, in ticks
+	doubt                fleet.Suspicion[Time]          // passed over while another candidate is beyond it
 	shun                 float64                    // chance of that by what peers say, fading
 	slow, asking         bool                       // by its last report; a probe is out
 	held                 []*op                      // until that is back
 	wait, heard          Time                       // of an op there, by its last probe; when that came
 
 	ranked      bool                // it is in the list of caches, and in the sums over it
-	failurePart evidence.MedianPart // where those count its failures
+	failurePart evidence.MedianBin // where those count its failures
 	walk        uint64              // the last walk for a request's candidates that came to it
 }
 
@@ -80,7 +80,7 @@
 	ran                *push // the first push that may have run
 }
 
-type zone = evidence.Way[Time] // to a location of caches
+type zone = evidence.PathLatency[Time] // to a location of caches
 
 type push struct {
 	n     int
@@ -93,7 +93,7 @@
 
 type tenant struct {
 	tokens, rate float64
-	again        evidence.Budget // tries that come again
+	again        evidence.RetryBudget // tries that come again
 }
 
 type Balancer struct {
@@ -130,9 +130,9 @@
 	all            cache               // what all caches did, taken together
 	gate           shortage.Gate       // shut as far as the fleet is short as a whole
 	ladder         site.Live           // which ops are refused first then
-	back           pace.Back           // to the pace that the origin took before it was short
+	back           pace.Recovery           // to the pace that the origin took before it was short
 	zones          map[int]*zone
-	sites          fleet.Sites[Time] // lost, or cut off
+	sites          fleet.SiteHealth[Time] // lost, or cut off
 	near           bool              // caches of the own zone come first
 	learned                          // that a process which follows may go by
 
@@ -154,13 +154,13 @@
 	for _, list := range []*members.List[*cache]{&b.ranked, &b.seats, &b.seated, &b.seatedOwn} {
 		*list = members.NewList[*cache](&b.visits)
 	}
-	b.sites.Own = s.Zone
+	b.sites.Local = s.Zone
 	if b.Retune(s); !s.Aside {
 		b.shadow = &cache{shared: true}
 	}
 	h.Timer(tokenTick, 4*s.Tick)
 	if s.AskList {
-		h.Timer(tokenWatch, b.between(fleet.Turn(s.Index, s.Proxies, s.AskEvery/2)))
+		h.Timer(tokenWatch, b.between(fleet.StartSlot(s.Index, s.Proxies, s.AskEvery/2)))
 	}
 	return b
 }
@@ -183,7 +183,7 @@
 		rate := quota / float64(s.Proxies)
 		if i == len(b.tenants) {
 			b.tenants = append(b.tenants, &tenant{tokens: max(rate, leastTokens/2)})
-			b.tenants[i].again.Earn(mostAgain, mostAgain)
+			b.tenants[i].again.Deposit(mostAgain, mostAgain)
 		}
 		b.tenants[i].rate = rate
 	}
@@ -195,10 +195,10 @@
 // ListArrived takes the whole list, changes to it, or word that a call to the list failed.
 func (b *Balancer) ListArrived(kind ListKind, entries []Entry) {
 	if kind == ListFailed {
-		b.host.Timer(tokenWatch, b.between(0, b.asking.Failed(b.AskEvery/2, 2*b.AskEvery)))
+		b.host.Timer(tokenWatch, b.between(0, b.asking.RecordFailure(b.AskEvery/2, 2*b.AskEvery)))
 		return
 	}
-	b.asking.Held()
+	b.asking.Reset()
 	for _, c := range b.caches.All() {
 		c.listed, c.ranked = c.listed && kind == ListDelta, false
 	}
@@ -206,7 +206,7 @@
 		c := cmp.Or(b.caches.Get(e.ID), &cache{Record: evidence.Record{Limit: b.first}, heard: math.MinInt64 / 2})
 		b.caches.Put(e.ID, c)
 		if e.Start > c.Start {
-			c.restUntil, c.rest, c.Bad, c.doubt = 0, 0, 0, fleet.Doubt[Time]{} // a new process: not its failures
+			c.restUntil, c.rest, c.Bad, c.doubt = 0, 0, 0, fleet.Suspicion[Time]{} // a new process: not its failures
 		}
 		if e.Start = max(e.Start, c.Start); c.Excluded && !e.Excluded {
 			e.Start = b.host.Now() // operators restart what they take out, and the list need not tell
@@ -252,14 +252,14 @@
 	b.circle, b.heaviest, b.sizes = circle.New(slack, m), 0, 0
 	b.seats.Reset(m)
 	for _, c := range b.ranked.All() {
-		if c.size = c.Weight * math.Exp2(-b.speeds[c.Kind].Slower); b.RoughWeights {
+		if c.size = c.Weight * math.Exp2(-b.speeds[c.Kind].OctavesSlower); b.RoughWeights {
 			c.size /= math.Sqrt(c.Weight) // they count cores, not what these do: halfway to equal till that is seen
 		}
 		b.heaviest, b.sizes = max(b.heaviest, c.size), b.sizes+c.size
 		if c.Zone == b.Zone {
 			own += c.size
 		}
-		b.seats.Put(circle.Seat(uint64(c.ID), m, func(at int) bool { return b.seats.At(at) == nil }), c)
+		b.seats.Put(circle.AssignBucket(uint64(c.ID), m, func(at int) bool { return b.seats.At(at) == nil }), c)
 	}
 	b.ownCaches = 0
 	b.seated.Reset(0)
@@ -289,8 +289,8 @@
 	// Each tenant's clients wait as they do: one whose waits turn short must not make the others' look wrong.
 	try, spent := b.tries[[2]int{category, account}], Time(0)
 	if b.MarksRetry && !again {
-		try.Is(left)
-	} else if b.MarksRetry && !try.Near(left, cat.TTL/64) || !b.MarksRetry && !try.Usual(left, cat.TTL/64) {
+		try.Set(left)
+	} else if b.MarksRetry && !try.Matches(left, cat.TTL/64) || !b.MarksRetry && !try.ObserveFirstTry(left, cat.TTL/64) {
 		spent = max(cat.TTL-left, 0) // a last try, with all that is left of the TTL
 	}
 	if cat.Tardy == 0 && cat.Effect == Redeliverable {
@@ -306,9 +306,9 @@
 	}
 	b.ladder.Asked(category, o.beyond > 0, cat.Benefit*(1-o.beyond))
 	// Tries beyond the budget, and ops that hardly any answer reaches in time, take only what others leave.
-	over, chance := again && !t.again.Again(), 1.0
-	if b.all.span.Enough() {
-		chance = b.all.span.By(b.ticks(o.aim - now))
+	over, chance := again && !t.again.TryWithdraw(), 1.0
+	if b.all.span.HasEnoughSamples() {
+		chance = b.all.span.ShareWithin(b.ticks(o.aim - now))
 	}
 	if o.lane *= min(2*chance, 1); over {
 		o.lane, b.Counts.RetriesOverBudget = o.lane/2, b.Counts.RetriesOverBudget+1
@@ -317,15 +317,15 @@
 		o.key = uint64(b.rnd.Next())<<32 | uint64(b.rnd.Next())
 	}
 	// With room at the origin for a copy more a key is hot in doubt, but of many proxies each sees too little.
-	o.heat = b.hot.Asked(o.key, b.origin != nil && b.origin.Limit >= 0.5 && b.Proxies <= firstLimit)
+	o.heat = b.hot.Observe(o.key, b.origin != nil && b.origin.Limit >= 0.5 && b.Proxies <= firstLimit)
 	if o.aim <= now || chance < leastChance {
 		b.Counts.DeadlineTooShort++
 		b.giveUp(o, NoChance)
 	} else if over && b.strain > calm {
 		b.giveUp(o, PastBudget)
-	} else if share := b.gate.Share(); share < 1 &&
-		b.rnd.Share() > b.ladder.Pass(category, o.beyond > 0, share) {
-		b.gate.Refused()
+	} else if share := b.gate.AdmittedShare(); share < 1 &&
+		b.rnd.Float64() > b.ladder.Pass(category, o.beyond > 0, share) {
+		b.gate.ObserveRefusal()
 		b.giveUp(o, FleetShort)
 	} else if b.Aside && write {
 		b.toOrigin(o)
@@ -337,7 +337,7 @@
 // way is how much longer than usual the way to a cache's zone takes, less what the own zone's answers do.
 func (b *Balancer) way(c *cache) Time {
 	z, own := b.zones[c.Zone], cmp.Or(b.zones[b.Zone], &zone{})
-	if way := z.Longer() - max(own.Longer(), 0); c.Zone != b.Zone && way >= b.shortest/4 {
+	if way := z.Excess() - max(own.Excess(), 0); c.Zone != b.Zone && way >= b.shortest/4 {
 		return way
 	}
 	return 0
@@ -361,7 +361,7 @@
 // tells of a queue that all fill together. Probes have a price: one is drawn for as many ops as are worth it.
 func (b *Balancer) ask(o *op, c *cache, now Time) bool {
 	if !b.Probing || o.probes > candidates || now-c.heard <= b.shortest/4 || o.aim-now < b.shortest/4 ||
-		!c.asking && b.crowded(c, now) == 0 && b.rnd.Share() > b.worth/b.ProbePrice {
+		!c.asking && b.crowded(c, now) == 0 && b.rnd.Float64() > b.worth/b.ProbePrice {
 		return false
 	}
 	o.probes, c.held = o.probes+1, append(c.held, o)
@@ -423,13 +423,13 @@
 }
 
 // mayFetch tells whether a cache may have to ask the origin: only such ops wait while that is slow.
-func (b *Balancer) mayFetch(o *op) bool { return b.shadow != nil && (o.write || !b.kept.Has(o.key)) }
+func (b *Balancer) mayFetch(o *op) bool { return b.shadow != nil && (o.write || !b.kept.Contains(o.key)) }
 
 // elsewhere asks a copy in another zone before an op is given up for want of an origin beyond a slow way, or
 // one not heard of. An origin that is short is no reason: what missed here mostly misses there.
 func (b *Balancer) elsewhere(o *op, why GiveUpReason) {
 	now, z := b.host.Now(), b.zones[b.origin.Zone]
-	if b.near && !o.write && o.n > 0 && o.n < o.pushes && (b.way(b.origin) > 0 || now > z.At+4*b.shortest) {
+	if b.near && !o.write && o.n > 0 && o.n < o.pushes && (b.way(b.origin) > 0 || now > z.LastAnswer+4*b.shortest) {
 		if c := b.route(o); c != nil && !b.far(o, c, now) {
 			b.toCache(o)
 			return
@@ -464,7 +464,7 @@
 		o := b.queue[0]
 		b.queue = b.queue[1:]
 		o.queued = false
-		if now := b.host.Now(); now < o.due && b.allowed(o, b.origin, now) && b.origin.span.Chance(
+		if now := b.host.Now(); now < o.due && b.allowed(o, b.origin, now) && b.origin.span.AnswerProbability(
 			b.ticks(o.aim-now-b.way(b.origin)), b.ticks(b.target)) >= 2*leastChance {
 			b.push(o, b.origin) // with less time left, it would be asked in vain
 		} else {
@@ -484,7 +484,7 @@
 	now, fetches := b.host.Now(), b.mayFetch(o)
 	until := b.until(o, c, now)
 	full := until == o.aim && 2*(until-now) >= o.cat.Target
-	o.out = append(o.out, push{o.n, c, now, b.gate.Share(), fetches, full, until < o.aim})
+	o.out = append(o.out, push{o.n, c, now, b.gate.AdmittedShare(), fetches, full, until < o.aim})
 	if fetches {
 		b.shadow.out++
 	}
@@ -511,7 +511,7 @@
 		b.rnd.Next()%fullLength == 0 {
 		return o.aim
 	}
-	if span := evidence.Patience(&b.all.span, b.silent/max(b.waited, 1), b.ticks(o.aim-now)); span > 0 {
+	if span := evidence.HedgeDelay(&b.all.span, b.silent/max(b.waited, 1), b.ticks(o.aim-now)); span > 0 {
 		return min(now+max(Time(span*float64(b.Tick)), b.Tick)+b.way(c), o.aim)
 	}
 	return o.aim
@@ -538,10 +538,10 @@
 	z := b.zones[c.Zone]
 	answered := how == Acked && !missed || how == Miss
 	if c != b.origin && answered {
-		z.Answered(taken, now)
+		z.ObserveAnswer(taken, now)
 	}
 	if c != b.origin && (answered || how == TimedOut) {
-		z.Took(min(taken, o.cat.Target)) // unanswered, it would have come later
+		z.ObserveLowerBound(min(taken, o.cat.Target)) // unanswered, it would have come later
 	}
 	taken = max(taken-b.way(c), b.Tick)
 	load, ill := b.proof(o, p, how, missed, taken)
@@ -561,28 +561,28 @@
 		b.failed = now
 	}
 	if c != b.origin && (how == ConnectFailed || how == TimedOut && ill >= 0.5) {
-		b.sites.Silent(c.Zone, now, 4*b.shortest)
+		b.sites.RecordFailure(c.Zone, now, 4*b.shortest)
 	} else if c != b.origin && how != TimedOut && how != Cancelled && how != NotSent {
-		b.sites.Heard(c.Zone, now)
+		b.sites.RecordAnswer(c.Zone, now)
 	}
 	if c != b.origin && (how == ConnectFailed || how != ConnectionLost && ill >= 0.25) {
 		b.suspect(c)
 		// Danger: each of hundreds of proxies finds a bad or crowded cache out by itself, for an op each. Only its
 		// own zone gives word, and not of connections: the way, or making new ones, may be at fault.
-		if b.Peers && how == TimedOut && c.Zone == b.Zone && b.rnd.Share()*b.copies < leastChance {
+		if b.Peers && how == TimedOut && c.Zone == b.Zone && b.rnd.Float64()*b.copies < leastChance {
 			word := binary.LittleEndian.AppendUint64(nil, uint64(c.ID))
 			b.host.SendToPeers(word)
 			b.PeerMessageReceived(word)
 		}
 	} else if how == Acked && !c.slow {
-		c.doubt.End()
+		c.doubt.Clear()
 	}
 	if c != b.origin && (how == Acked && !missed || how == TimedOut && ill >= 0.5) && b.share(c, now) >= 1 {
-		b.reseat = evidence.Compare(b.speeds, c.Kind, b.ticks(taken)) || b.reseat
+		b.reseat = evidence.UpdateSpeeds(b.speeds, c.Kind, b.ticks(taken)) || b.reseat
 	}
 	b.judged(c, good, ill)
-	c.by.Book(o.cat, good, ill)
-	b.all.by.Book(o.cat, good, ill)
+	c.by.Add(o.cat, good, ill)
+	b.all.by.Add(o.cat, good, ill)
 	if p.full && c != b.origin && (good > 0 || how == TimedOut) {
 		b.waited, b.silent = b.waited+1, b.silent+ill
 	}
@@ -590,10 +590,10 @@
 		b.answered(c, missWork) // Danger: counted in full, where most miss, cold caches were sent too many that hit
 	} else if how == Acked {
 		b.answered(c, 1)
-		o.tenant.again.Earn(againShare, mostAgain)
+		o.tenant.again.Deposit(againShare, mostAgain)
 		// To hundreds few are worth it; one that looks like an id would be taken for a failing cache.
 		if b.shadow != nil && b.kept.Add(o.key) && len(b.news) < mostNews &&
-			b.rnd.Share()*b.copies < b.worth && o.key > math.MaxUint32 {
+			b.rnd.Float64()*b.copies < b.worth && o.key > math.MaxUint32 {
 			b.news = binary.LittleEndian.AppendUint64(b.news, o.key)
 		}
 	}
@@ -602,9 +602,9 @@
 		blamed = b.shadow
 	}
 	if c != b.origin && answered {
-		b.gate.Ended(1/max(c.Sent.Sum(), 1), float64(taken)/float64(o.cat.Target), p.share)
+		b.gate.ObservePush(1/max(c.Sent.Sum(), 1), float64(taken)/float64(o.cat.Target), p.share)
 	} else if c != b.origin && blamed == c { // a fetch is the origin's; to be turned away is quick
-		b.gate.Ended(load/max(c.Sent.Sum(), 1), 1, p.share)
+		b.gate.ObservePush(load/max(c.Sent.Sum(), 1), 1, p.share)
 	}
 	// One measure for all: the tightest category's would cut a cache for work that is naturally longer.
 	b.target += (o.cat.Target - b.target) / 64
@@ -635,7 +635,7 @@
 // Reported takes a cache's own word of how long its ops take, which shows what all proxies send it.
 func (b *Balancer) Reported(id uint32, pace Time) {
 	if c := b.caches.Get(id); c != nil && c != b.origin {
-		if c.slow = b.paces.Slow(c.Kind, float64(pace)); c.slow {
+		if c.slow = b.paces.ObserveSlow(c.Kind, float64(pace)); c.slow {
 			b.suspect(c)
 		}
 	}
@@ -647,7 +647,7 @@
 	usual, fleet := &p.to.span, &b.all.span
 	if p.to.shared {
 		fleet = usual
-	} else if !usual.Enough() {
+	} else if !usual.HasEnoughSamples() {
 		usual = fleet
 	}
 	span, target := b.ticks(taken), b.ticks(o.cat.Target)
@@ -657,13 +657,13 @@
 	case how == ConnectionLost:
 		return 0, 1
 	case how == Errored:
-		return evidence.Unanswered(usual, span, target), 1
+		return evidence.TimeoutWeight(usual, span, target), 1
 	case how != TimedOut || b.Aside && b.way(p.to) > 0: // a slow way loses as well
 		return 0, 0
 	}
-	load, ill = evidence.Unanswered(usual, span, target), evidence.Unanswered(fleet, span, target)
+	load, ill = evidence.TimeoutWeight(usual, span, target), evidence.TimeoutWeight(fleet, span, target)
 	if !p.to.shared {
-		load *= 1 - 0.95*evidence.Lost(usual, p.to.Good, p.to.Bad, target)
+		load *= 1 - 0.95*evidence.LossProbability(usual, p.to.Good, p.to.Bad, target)
 	}
 	if p.cut { // it was given up when it was as likely to be slow as to be lost
 		ill /= 2
@@ -684,10 +684,10 @@
 			b.row, c.near = 1, min(cmp.Or(c.near, usual), usual)
 			c.near += (usual - c.near) / 256
 			if taken <= c.near*3/2 { // as ever: it may be free again, and few answers come here to tell
-				c.Limit = b.back.Quick(c.Limit)
+				c.Limit = b.back.ObserveQuick(c.Limit)
 			}
 		} else if !c.shared && b.Aside { // a miss is all way; taken for work, far caches would shrink to a push
-			taken -= b.zones[c.Zone].Usual
+			taken -= b.zones[c.Zone].Baseline
 		}
 		if taken > inTime && c == b.origin && c.Limit < 1 {
 			b.cut(c, now, 0.8)
@@ -724,7 +724,7 @@
 
 func (b *Balancer) cut(c *cache, now Time, by float64) {
 	if now >= c.cutAt+b.shortest/4 {
-		if c == b.origin && b.back.Cut(&c.Limit, by < 0.9) { // its jump was wrong, not the pace ahead of that
+		if c == b.origin && b.back.ObserveCut(&c.Limit, by < 0.9) { // its jump was wrong, not the pace ahead of that
 			c.cutAt, b.row = now, 1
 			return
 		}
--- a/policy/route.go
+++ b/policy/route.go
@@ -10,7 +10,7 @@
 	if !c.listed || c.State != Ready || c.Excluded || slices.Contains(o.tried, c) {
 		return false
 	}
-	if c != b.origin && (now < c.restUntil || !b.slowStartRoom(c, now) || c.by.StandOut(&b.all.by, o.cat)) {
+	if c != b.origin && (now < c.restUntil || !b.slowStartRoom(c, now) || c.by.IsOutlier(&b.all.by, o.cat)) {
 		return false
 	}
 	return o.ran == nil || b.repeatable(o, c, now)
@@ -89,8 +89,8 @@
 // passedOver tells whether a candidate is passed over for the next one: it, or all of its zone, lately failed this proxy or its peers, its
 // way is too long, or it is crowded. Few proxies each see enough to go by limits.
 func (b *Balancer) passedOver(o *op, c *cache, spare bool, now Time) bool {
-	doubt := b.Proxies > firstLimit && (c.doubt.Stands(now) || b.sites.Stands(c.Zone, o.key, now)) ||
-		b.rnd.Share() < c.shun && (b.shadow == nil || b.room(b.shadow, o))
+	doubt := b.Proxies > firstLimit && (c.doubt.Active(now) || b.sites.ShouldAvoid(c.Zone, o.key, now)) ||
+		b.rnd.Float64() < c.shun && (b.shadow == nil || b.room(b.shadow, o))
 	return doubt || b.far(o, c, now) || spare && b.crowded(c, now) > 0
 }
 
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -6,7 +6,7 @@
 const slowStartPart = 0.7
 
 func (b *Balancer) ramp() slowstart.Ramp[Time] {
-	return slowstart.Ramp[Time]{From: b.ColdFrom, Span: b.WarmUp}
+	return slowstart.Ramp[Time]{InitialShare: b.ColdFrom, Duration: b.WarmUp}
 }
 
 // share is the part of its capacity that a cache has surely reached.
@@ -35,7 +35,7 @@
 func (b *Balancer) answered(c *cache, n float64) {
 	c.Done[0] += n
 	if c.counted() {
-		b.sums.Answered(n)
+		b.sums.AddAnswered(n)
 	}
 }
 
--- a/policy/tick.go
+++ b/policy/tick.go
@@ -72,24 +72,24 @@
 		b.news = nil
 	}
 	if b.turn%quarters == 0 {
-		b.windowDraw = b.rnd.Share()
+		b.windowDraw = b.rnd.Float64()
 	}
 	if b.turn++; b.shadow != nil && b.turn%(2*quarters) == 0 {
-		b.kept.Turn()
+		b.kept.Rotate()
 	}
 	for id, c := range b.caches.All() {
 		if !c.listed && !c.asking && c.out == 0 && c.Sent.Sum() == 0 {
 			b.caches.Delete(id) // ids are ever new: kept for good, they would fill the memory
 		}
 		c.Roll(0.8)
-		c.span.Fade(0.5)
-		c.by.Fade(0.8)
+		c.span.Decay(0.5)
+		c.by.Decay(0.8)
 	}
 	for _, z := range b.zones { // a way that stays slow is its way
-		z.Settle()
+		z.AdjustBaseline()
 	}
-	b.all.span.Fade(0.8)
-	b.all.by.Fade(0.8)
+	b.all.span.Decay(0.8)
+	b.all.by.Decay(0.8)
 	b.waited, b.silent = b.waited*0.8, b.silent*0.8
 	b.staleSums = true
 }
