--- a/decide/circle/circle.go
+++ b/decide/circle/circle.go
@@ -1,4 +1,4 @@
-// Package circle is the placement arithmetic: where a key's hash falls, and which bucket that is.
+// Package circle places keys on buckets by round-mapping, a consistent hash that adds buckets one at a time.
 package circle
 
 import (
@@ -6,7 +6,7 @@
 	"math/bits"
 )
 
-// Mix hashes a key with a salt.
+// Mix hashes a key with a salt (the splitmix64 finalizer).
 func Mix(key, salt uint64) uint64 {
 	h := key + (salt+1)*0x9e3779b97f4a7c15
 	h = (h ^ h>>30) * 0xbf58476d1ce4e5b9
@@ -14,10 +14,16 @@
 	return h ^ h>>31
 }
 
-// Circle is round-mapping (paper, section 2): m arcs, step s, 2^q groups, p the last short arc.
-type Circle struct{ s0, m, s, q, p int }
+// Circle is a ring of equally probable arcs, one for each bucket, in the notation of the round-mapping paper, section 2.
+type Circle struct {
+	s0 int // initial number of buckets, and the initial step
+	m  int // number of arcs, and of buckets
+	s  int // step: splits per new bucket
+	q  int // there are 2^q groups
+	p  int // index of the last short arc
+}
 
-// New makes a circle of m buckets, at least s0, which is at least 2.
+// New returns a circle of m buckets, raised to s0 if lower. s0 must be at least 2.
 func New(s0, m int) Circle {
 	m = max(m, s0)
 	q := bits.Len(uint(m/s0)) - 1
@@ -25,10 +31,10 @@
 	return Circle{s0: s0, m: m, s: s, q: q, p: (m-s<<q)*(s+1) - 1}
 }
 
-// Size is the number of buckets.
+// Size returns the number of buckets.
 func (c Circle) Size() int { return c.m }
 
-// Bucket is Algorithm 1 of the paper: the bucket of an arc, both from 0 to Size-1.
+// Bucket returns the bucket of arc j (Algorithm 1 of the paper). Both range from 0 to Size()-1.
 func (c Circle) Bucket(j int) int {
 	if j < c.s0 {
 		return j
@@ -43,24 +49,25 @@
 	return ((c.s0+x)<<q + i) >> (bits.TrailingZeros(uint(i)) + 1)
 }
 
-// BucketFor is the bucket of a key's arc, with a salt.
+// BucketFor returns the bucket of a key under a salt.
 func (c Circle) BucketFor(key, salt uint64) int {
 	arc, _ := bits.Mul64(Mix(key, salt), uint64(c.m))
 	return c.Bucket(int(arc))
 }
 
-// ID is a name's number, the same wherever it is worked out.
+// ID returns a 32-bit hash of a name. It is the same in every process and on every machine.
 func ID(name string) uint32 {
 	h := fnv.New64a()
 	h.Write([]byte(name))
 	return uint32(h.Sum64() ^ h.Sum64()>>32)
 }
 
-// AssignBucket is the first free one of m seats that an id hashes to; one must be free.
-func AssignBucket(id uint64, m int, free func(seat int) bool) int {
+// AssignBucket returns the first free bucket of m that an id hashes to under salts 0, 1, 2 and so on. At least one
+// bucket must be free.
+func AssignBucket(id uint64, m int, free func(bucket int) bool) int {
 	for salt := uint64(0); ; salt++ {
-		if at := int(Mix(id, salt) % uint64(m)); free(at) {
-			return at
+		if bucket := int(Mix(id, salt) % uint64(m)); free(bucket) {
+			return bucket
 		}
 	}
 }
--- a/decide/evidence/evidence_test.go
+++ b/decide/evidence/evidence_test.go
@@ -5,66 +5,67 @@
 	"testing"
 )
 
-// spans holds 100 answers, evenly from 10 to 40 units, and so many fades of a half.
-func spans(fades int) *LatencyHistogram {
-	s := &LatencyHistogram{}
+// histogramWithDecays returns a histogram of 100 answers, evenly from 10 to 40 units, decayed by half the given number of times.
+func histogramWithDecays(decays int) *LatencyHistogram {
+	h := &LatencyHistogram{}
 	for i := range 100 {
-		s.Add(10 + 0.3*float64(i))
+		h.Add(10 + 0.3*float64(i))
 	}
-	for range fades {
-		s.Decay(0.5)
+	for range decays {
+		h.Decay(0.5)
 	}
-	return s
+	return h
 }
 
-// late holds so many pushes that were all waited for in vain.
-func late(n float64) *LatencyHistogram {
-	s := &LatencyHistogram{}
+// allLate returns a histogram with the weight of n answers that all came long after the target of 150 units.
+func allLate(n float64) *LatencyHistogram {
+	h := &LatencyHistogram{}
 	for range 40 {
-		s.Add(4 * 150)
+		h.Add(4 * 150)
 	}
-	s.Decay(n / 40)
-	return s
+	h.Decay(n / 40)
+	return h
 }
 
+// Guards against weights that blame a healthy server for a push without an answer, or excuse a slow or failing one.
 func TestWeights(t *testing.T) {
 	const target = 150.0
-	tail := spans(0) // a queue: a fifth of its answers come near the target
+	queued := histogramWithDecays(0) // a fifth of the answers come near the target, as from a queue
 	for range 25 {
-		tail.Add(140)
+		queued.Add(140)
 	}
 	for _, c := range []struct {
 		name          string
 		got, from, to float64
 	}{
-		{"most answers take longer", TimeoutWeight(spans(0), 15, target), 0, 0},
-		{"half of them do", TimeoutWeight(spans(0), 24, target), 0, 0.1},
-		{"hardly any does", TimeoutWeight(spans(0), 41, target), 0.85, 1},
-		{"all do, yet the target has passed", TimeoutWeight(&LatencyHistogram{}, target, target), 1, 1},
-		{"nothing was seen, little was waited", TimeoutWeight(&LatencyHistogram{}, 40, target), 0, 0},
-		{"too little was seen", TimeoutWeight(spans(6), 40, target), 0, 0},
-		{"a slow server's span is no excuse past the target", TimeoutWeight(tail, 130, target), 1, 1},
-		{"quick answers, none queued", LossProbability(spans(0), 80, 20, target), 1, 1},
-		{"most of them lost: it stands still", LossProbability(spans(0), 30, 70, target), 0, 0},
-		{"answers near the target, so a queue", LossProbability(tail, 80, 20, target), 0, 0},
-		{"lost, with nothing seen", LossProbability(&LatencyHistogram{}, 80, 20, target), 0, 0},
-		{"none is lost: waiting on is best", HedgeDelay(spans(0), 0, target), 0, 0},
-		{"a tenth is lost", HedgeDelay(spans(0), 0.1, target), 33, 42},
-		{"more are lost: sooner", HedgeDelay(spans(0), 0.3, target), 26, 34},
-		{"no time for another", HedgeDelay(spans(0), 0.1, 45), 0, 0},
-		{"chance with nothing seen and little left", (&LatencyHistogram{}).AnswerProbability(20, target), 0, 0},
-		{"chance with nothing seen and enough left", (&LatencyHistogram{}).AnswerProbability(60, target), 1, 1},
-		{"chance of an origin that answered nobody in time", late(40).AnswerProbability(150, target), 0, 0.1},
-		{"the same, long ago: it is asked again", late(0.2).AnswerProbability(150, target), 0.8, 1},
-		{"chance of the quick ones", spans(0).AnswerProbability(15, target), 0.05, 0.35},
-		{"beyond all bins", spans(0).ShareWithin(1e9), 1, 1},
-		{"an answer of no time and one of years", func() float64 {
-			s := &LatencyHistogram{}
-			s.Add(0)
-			s.Add(math.MaxInt64)
-			return s.ShareWithin(2)
+		{"most answers take longer", TimeoutWeight(histogramWithDecays(0), 15, target), 0, 0},
+		{"half of the answers take longer", TimeoutWeight(histogramWithDecays(0), 24, target), 0, 0.1},
+		{"hardly any answer takes longer", TimeoutWeight(histogramWithDecays(0), 41, target), 0.85, 1},
+		{"no samples, target latency passed", TimeoutWeight(&LatencyHistogram{}, target, target), 1, 1},
+		{"no samples, short wait", TimeoutWeight(&LatencyHistogram{}, 40, target), 0, 0},
+		{"too few samples", TimeoutWeight(histogramWithDecays(6), 40, target), 0, 0},
+		{"a slow server's histogram is no excuse near the target", TimeoutWeight(queued, 130, target), 1, 1},
+		{"fast answers, no queue: lost", LossProbability(histogramWithDecays(0), 80, 20, target), 1, 1},
+		{"most pushes lost: the server is failing", LossProbability(histogramWithDecays(0), 30, 70, target), 0, 0},
+		{"answers near the target: a queue, not a loss", LossProbability(queued, 80, 20, target), 0, 0},
+		{"loss without samples", LossProbability(&LatencyHistogram{}, 80, 20, target), 0, 0},
+		{"no losses: no hedge", HedgeDelay(histogramWithDecays(0), 0, target), 0, 0},
+		{"a tenth lost", HedgeDelay(histogramWithDecays(0), 0.1, target), 33, 42},
+		{"three tenths lost: sooner", HedgeDelay(histogramWithDecays(0), 0.3, target), 26, 34},
+		{"no time left for another server", HedgeDelay(histogramWithDecays(0), 0.1, 45), 0, 0},
+		{"probability without samples, little time left", (&LatencyHistogram{}).AnswerProbability(20, target), 0, 0},
+		{"probability without samples, enough time left", (&LatencyHistogram{}).AnswerProbability(60, target), 1, 1},
+		{"probability at an origin that answered nobody in time", allLate(40).AnswerProbability(150, target), 0, 0.1},
+		{"the same with old samples: tried again", allLate(0.2).AnswerProbability(150, target), 0.8, 1},
+		{"probability of the fastest answers", histogramWithDecays(0).AnswerProbability(15, target), 0.05, 0.35},
+		{"span beyond the last bin", histogramWithDecays(0).ShareWithin(1e9), 1, 1},
+		{"answer times of 0 and of the maximum", func() float64 {
+			h := &LatencyHistogram{}
+			h.Add(0)
+			h.Add(math.MaxInt64)
+			return h.ShareWithin(2)
 		}(), 0.5, 0.5},
-		{"quantile of nothing", (&LatencyHistogram{}).Quantile(0.5), 0, 0},
+		{"quantile of an empty histogram", (&LatencyHistogram{}).Quantile(0.5), 0, 0},
 	} {
 		if !(c.got >= c.from && c.got <= c.to) {
 			t.Errorf("%s: %v, want %v to %v", c.name, c.got, c.from, c.to)
@@ -72,129 +73,140 @@
 	}
 }
 
-// The weights only ever rise with the span, and a quantile is where By says it is.
-func TestSpansAreMonotonic(t *testing.T) {
-	s := spans(0)
-	for span, last, by := 1.0, 0.0, 0.0; span < 400; span *= 1.07 {
-		w := TimeoutWeight(s, span, 150)
-		if w < last || s.ShareWithin(span) < by {
-			t.Fatalf("falls at %v", span)
+// Guards against a weight or share that falls as the span grows, and against a Quantile that is not the inverse of
+// ShareWithin.
+func TestHistogramIsMonotonic(t *testing.T) {
+	h := histogramWithDecays(0)
+	for span, lastWeight, lastShare := 1.0, 0.0, 0.0; span < 400; span *= 1.07 {
+		weight := TimeoutWeight(h, span, 150)
+		if weight < lastWeight || h.ShareWithin(span) < lastShare {
+			t.Fatalf("span %v: weight %v after %v, share %v after %v", span, weight, lastWeight, h.ShareWithin(span), lastShare)
 		}
-		last, by = w, s.ShareWithin(span)
+		lastWeight, lastShare = weight, h.ShareWithin(span)
 	}
 	for share := 0.05; share < 1; share += 0.05 {
-		if got := s.ShareWithin(s.Quantile(share)); math.Abs(got-share) > 0.01 {
-			t.Errorf("By(Quantile(%v)) = %v", share, got)
+		if got := h.ShareWithin(h.Quantile(share)); math.Abs(got-share) > 0.01 {
+			t.Errorf("ShareWithin(Quantile(%v)) = %v", share, got)
 		}
 	}
 }
 
-func TestShares(t *testing.T) {
+// Guards against a server that is blamed for a kind of work which fails everywhere, and against old failures that keep
+// a kind away from a server for good.
+func TestOutcomeCounts(t *testing.T) {
 	var one, all OutcomeCounts[string]
-	book := func(s *OutcomeCounts[string], kind string, good, bad float64) {
-		s.Add(kind, good, bad)
+	add := func(c *OutcomeCounts[string], kind string, good, bad float64) {
+		c.Add(kind, good, bad)
 		all.Add(kind, good, bad)
 	}
-	book(&one, "a", 5, 20)
-	book(&one, "b", 20, 2)
+	add(&one, "a", 5, 20)
+	add(&one, "b", 20, 2)
 	all.Add("a", 75, 0)
 	for kind, want := range map[string]bool{"a": true, "b": false, "none": false} {
 		if one.IsOutlier(&all, kind) != want {
-			t.Errorf("%s: want %v", kind, want)
+			t.Errorf("kind %q: outlier %v, want %v", kind, !want, want)
 		}
 	}
 	if all.Add("a", 0, 75); one.IsOutlier(&all, "a") {
-		t.Error("all fail alike, so none stands out")
+		t.Error("kind a fails everywhere, but counts as an outlier here")
 	}
 	one.Decay(0.1)
 	if all.Decay(0.01); one.IsOutlier(&all, "a") {
-		t.Error("old evidence counts for ever")
+		t.Error("kind a is still an outlier after its counts have decayed")
 	}
 }
 
-func TestBudget(t *testing.T) {
+// Guards against a budget that admits fractions of a retry, or runs into debt by the retries that it rejects.
+func TestRetryBudget(t *testing.T) {
 	var b RetryBudget
 	b.Deposit(3, 2)
 	for i, want := range []bool{true, true, false, false} {
 		if b.TryWithdraw() != want {
-			t.Errorf("try %d: want %v", i, want)
+			t.Errorf("withdrawal %d: got %v, want %v", i, !want, want)
 		}
 	}
 	if b.Deposit(0.5, 2); b.TryWithdraw() {
-		t.Error("half a try was let in")
+		t.Error("admitted a retry with half a token in the budget")
 	}
 	if b.Deposit(0.5, 2); !b.TryWithdraw() {
-		t.Error("no debt may be left of what was turned away")
+		t.Error("a whole token is in the budget, but the retry was rejected")
 	}
 }
 
+// Guards against a window that keeps its oldest slot, or starts a slot with an old count.
 func TestWindowMovesOnByQuarters(t *testing.T) {
 	var w Window
 	for n := range 2 * WindowSlots {
 		w[0] += float64(n)
 		if w.Roll(); w[0] != 0 {
-			t.Error("a quarter begins with what the last one held")
+			t.Errorf("new slot starts at %v, want 0", w[0])
 		}
 	}
 	if w.Sum() != 9+8+7+6 {
-		t.Errorf("sum %v of the last four quarters", w.Sum())
+		t.Errorf("sum of the last four slots is %v, want 30", w.Sum())
 	}
 }
 
-func TestWay(t *testing.T) {
-	var w PathLatency[int64]
-	if w.ObserveLowerBound(10000); w.Excess() != 0 {
-		t.Error("longer than what was never seen")
+// Guards against a path that counts as slow because one of the servers behind it is, and against a slow path that goes
+// unnoticed or never becomes the baseline.
+func TestPathLatency(t *testing.T) {
+	var p PathLatency[int64]
+	if p.ObserveLowerBound(10000); p.Excess() != 0 {
+		t.Errorf("excess %d before the first answer, want 0", p.Excess())
 	}
 	for range 20 {
-		w.ObserveAnswer(4000, 7)
-		w.ObserveLowerBound(4000)
-		w.ObserveLowerBound(9000) // a sick cache beside well ones
+		p.ObserveAnswer(4000, 7)
+		p.ObserveLowerBound(4000)
+		p.ObserveLowerBound(9000) // a sick cache beside healthy ones
 	}
-	if w.Excess() > 2000 || w.LastAnswer != 7 {
-		t.Errorf("%+v: some slow answers make a way slow", w)
+	if p.Excess() > 2000 || p.LastAnswer != 7 {
+		t.Errorf("%+v: some slow answers among fast ones make the path slow", p)
 	}
 	for range 20 {
-		w.ObserveAnswer(20000, 8)
-		w.ObserveLowerBound(20000)
+		p.ObserveAnswer(20000, 8)
+		p.ObserveLowerBound(20000)
 	}
-	if w.Excess() < 12000 {
-		t.Errorf("%+v: no quick answer, and the way is not slow", w)
+	if p.Excess() < 12000 {
+		t.Errorf("%+v: no fast answers, but the path is not slow", p)
 	}
 	for range 4000 {
-		w.AdjustBaseline()
+		p.AdjustBaseline()
 	}
-	if w.Excess() > 4000 {
-		t.Errorf("%+v: what lasts is not usual", w)
+	if p.Excess() > 4000 {
+		t.Errorf("%+v: a lasting change does not become the baseline", p)
 	}
 }
 
+// Guards against two processes that share a server and together send more than one alone may, and against records from
+// another process with values that no process can have.
 func TestHalvesTogetherMaySendNoMore(t *testing.T) {
 	r := Record{Sent: Window{7, 0, 2}, Done: Window{7, 1}, Limit: 4}
 	other := r.Halve()
 	if r != other || r.Sent.Sum()+other.Sent.Sum() < 9 || r.Done.Sum()+other.Done.Sum() > 8 || r.Limit != 4 {
-		t.Errorf("%+v and %+v", r, other)
+		t.Errorf("halved into %+v and %+v", r, other)
 	}
 	for _, bad := range []Record{{}, {Limit: -1}, {Limit: math.NaN()}, {Limit: 1, Good: math.Inf(1)}, {Limit: 1, Bad: -1},
 		{Limit: 1, Sent: Window{-1}}, {Limit: 1, Done: Window{0, 1 << 30}}} {
 		if bad.Valid() {
-			t.Errorf("%+v can be", bad)
+			t.Errorf("%+v counts as valid", bad)
 		}
 	}
 	if !r.Valid() {
-		t.Errorf("%+v can't be", r)
+		t.Errorf("%+v counts as invalid", r)
 	}
 }
 
-func TestPacesAreJudgedByKind(t *testing.T) {
-	p := ReportBaselines{}
+// Guards against slow kinds of machine that count as slow by the baseline of fast ones, and against a kind's first report
+// that counts as slow.
+func TestReportsAreJudgedByKind(t *testing.T) {
+	r := ReportBaselines{}
 	for range 300 {
 		for i := range 9 {
-			p.ObserveSlow(0, 10+float64(i%3))
-			p.ObserveSlow(1, 50)
+			r.ObserveSlow(0, 10+float64(i%3))
+			r.ObserveSlow(1, 50)
 		}
 	}
-	if p.ObserveSlow(0, 18) || !p.ObserveSlow(0, 30) || p.ObserveSlow(1, 90) || !p.ObserveSlow(1, 120) || p.ObserveSlow(2, 1000) {
-		t.Errorf("%v", p)
+	if r.ObserveSlow(0, 18) || !r.ObserveSlow(0, 30) || r.ObserveSlow(1, 90) || !r.ObserveSlow(1, 120) || r.ObserveSlow(2, 1000) {
+		t.Errorf("baselines %v", r)
 	}
 }
--- a/decide/evidence/median.go
+++ b/decide/evidence/median.go
@@ -2,48 +2,49 @@
 
 import "math"
 
-// parts is how finely Median tells shares apart.
-const parts = 256
+// medianBins is the resolution of Median: a share is rounded up to a multiple of 1/medianBins.
+const medianBins = 256
 
-// Median counts shares from 0 to 1, and gives their median without a sort: 0 exactly, any other rounded up to the next of so many parts.
-// What is compared with it is thereby taken for an outlier by one part too late, never too early. The zero value has no shares.
+// Median keeps a histogram of shares from 0 to 1 and yields their median without sorting. A share of 0 is exact; any
+// other is rounded up to the next bin, so a value that is compared with the median is taken for an outlier one bin too
+// late at most, never too early. The zero value has no shares.
 type Median struct {
-	counts [parts + 1]int
-	n      int
+	counts [medianBins + 1]int
+	n      int // shares counted
 }
 
-// MedianBin is a share's place in a Median.
+// MedianBin is the index of a share's bin in a Median.
 type MedianBin int
 
-// MedianBinOf is the place of a share.
+// MedianBinOf returns the bin of a share.
 func MedianBinOf(share float64) MedianBin {
-	return MedianBin(min(max(math.Ceil(share*parts), 0), parts))
+	return MedianBin(min(max(math.Ceil(share*medianBins), 0), medianBins))
 }
 
-// Add counts a share at its place.
-func (m *Median) Add(at MedianBin) {
-	m.counts[at]++
+// Add counts a share in its bin.
+func (m *Median) Add(bin MedianBin) {
+	m.counts[bin]++
 	m.n++
 }
 
-// Move counts a share at another place than before.
+// Move moves a share that was counted in one bin to another.
 func (m *Median) Move(from, to MedianBin) {
 	m.counts[from]--
 	m.counts[to]++
 }
 
-// Value is the median; 0 with no shares.
+// Value returns the median, or 0 if no shares were counted.
 func (m *Median) Value() float64 {
 	seen := 0
-	for at, n := range m.counts {
+	for bin, n := range m.counts {
 		if seen += n; seen > m.n/2 {
-			return float64(at) / parts
+			return float64(bin) / medianBins
 		}
 	}
 	return 0
 }
 
-// IsOutlier tells whether a share of failures, 0 to 1, stands out against the median of all.
+// IsOutlier reports whether a failure share, 0 to 1, stands out against the median.
 func (m *Median) IsOutlier(share float64) bool {
 	return m.n > 0 && share > 2*m.Value()+0.25
 }
--- a/decide/evidence/record.go
+++ b/decide/evidence/record.go
@@ -2,21 +2,24 @@
 
 import "math"
 
-// Record is what was sent to one server and learned of it.
+// Record is what one process knows about one server. It is stored in snapshots under its field names.
 type Record struct {
-	Sent, Done       Window  // pushes of late, and those acked
-	Limit, Good, Bad float64 // in flight, learned; answers, and failures by what they prove, fading
+	Sent  Window  // pushes sent in the window
+	Done  Window  // pushes answered in the window
+	Limit float64 // learned concurrency limit, in pushes in flight
+	Good  float64 // answers, decaying
+	Bad   float64 // failures, each weighted 0 to 1 by how much it proves, decaying
 }
 
-// Roll lets a quarter of the windows pass, and what came of pushes count for less.
-func (r *Record) Roll(by float64) {
+// Roll starts the next slot of the windows and multiplies Good and Bad by a factor from 0 to 1.
+func (r *Record) Roll(factor float64) {
 	r.Sent.Roll()
 	r.Done.Roll()
-	r.Good, r.Bad = r.Good*by, r.Bad*by
+	r.Good, r.Bad = r.Good*factor, r.Bad*factor
 }
 
-// Halve gives a half away, to a process that shares the server with this one from now on: what both together may send stays
-// what it was.
+// Halve halves the windows and returns a copy of the result, for a process that shares the server with this one from
+// now on. Together the two may send as much as this process could alone.
 func (r *Record) Halve() Record {
 	for i := range r.Sent {
 		r.Sent[i], r.Done[i] = r.Sent[i]/2, r.Done[i]/2
@@ -24,7 +27,7 @@
 	return *r
 }
 
-// Valid tells whether a record that came from outside can be one.
+// Valid reports whether all values of a record from another process are within range.
 func (r *Record) Valid() bool {
 	for i := range r.Sent {
 		if !(r.Sent[i] >= 0 && r.Sent[i] < 1<<24 && r.Done[i] >= 0 && r.Done[i] < 1<<24) {
@@ -39,17 +42,18 @@
 	return r.Limit > 0
 }
 
-// ReportBaselines are the usual reports of kinds of machine.
+// ReportBaselines holds, for each kind of machine, the typical value of the load reports of its servers. Kinds differ
+// in speed, so each server is compared with its own kind.
 type ReportBaselines map[int]float64
 
-// ObserveSlow books a report, and tells whether it is twice the usual. ObserveSlow machines are slow: each is judged by its own kind, and
-// what is usual moves to the median, whatever the largest say.
-func (p ReportBaselines) ObserveSlow(kind int, pace float64) bool {
-	usual, ok := p[kind]
+// ObserveSlow records a report and reports whether it is more than twice the baseline of its kind. The baseline moves
+// by 1/32 towards each report whatever its size, so it follows the median and not the largest values.
+func (r ReportBaselines) ObserveSlow(kind int, reported float64) bool {
+	baseline, ok := r[kind]
 	if !ok {
-		usual = pace
+		baseline = reported
 	}
-	usual *= 1 + math.Copysign(1.0/32, pace-usual)
-	p[kind] = usual
-	return pace > 2*usual
+	baseline *= 1 + math.Copysign(1.0/32, reported-baseline)
+	r[kind] = baseline
+	return reported > 2*baseline
 }
--- a/decide/heat/heat.go
+++ b/decide/heat/heat.go
@@ -1,56 +1,57 @@
-// Package heat counts which keys are asked for most, in a few counters whatever the number of keys.
+// Package heat tracks which keys are requested most often, and which were answered lately, in bounded memory.
 package heat
 
 import "maps"
 
 const (
-	counters = 128
-	lately   = 8 * counters // asked; then all counts for half
-	least    = counters / 8 // asked, before which a share means nothing
+	maxCounters    = 128
+	decayAfter     = 8 * maxCounters // requests; then all counts are halved
+	minShareSample = maxCounters / 8 // requests; with fewer of them a share is computed as if there were as many
 )
 
-// KeyCounter counts what one proxy is asked for. The zero value has been asked nothing.
+// KeyCounter estimates the share of requests that each key has, by a fixed number of counters (the Misra-Gries
+// algorithm). The zero value has counted nothing.
 type KeyCounter struct {
-	count map[uint64]float64
-	asked float64
+	counts   map[uint64]float64
+	requests float64 // decaying, 0 to decayAfter
 }
 
-// Observe books a key, and gives its share of what was asked lately, 0 to 1: one time is taken for chance, or, where an
-// extra copy of the key costs little, for the sign of more.
+// Observe counts a request for a key and returns the key's share of recent requests, 0 to 1. One request is deducted
+// as chance, or added where an extra copy of the key is cheap, so that hot keys are found sooner there.
 func (k *KeyCounter) Observe(key uint64, cheap bool) float64 {
-	if k.count == nil {
-		k.count = map[uint64]float64{}
+	if k.counts == nil {
+		k.counts = map[uint64]float64{}
 	}
-	if k.asked++; k.asked > lately {
-		k.asked /= 2
-		for other := range k.count {
-			k.count[other] /= 2
+	if k.requests++; k.requests > decayAfter {
+		k.requests /= 2
+		for other := range k.counts {
+			k.counts[other] /= 2
 		}
 	}
-	if _, ok := k.count[key]; ok || len(k.count) < counters {
-		k.count[key]++
-		doubt := -1.0
+	if _, ok := k.counts[key]; ok || len(k.counts) < maxCounters {
+		k.counts[key]++
+		correction := -1.0
 		if cheap {
-			doubt = 1
+			correction = 1
 		}
-		return max(k.count[key]+doubt, 0) / max(k.asked, least)
+		return max(k.counts[key]+correction, 0) / max(k.requests, minShareSample)
 	}
-	for other := range k.count { // all lose alike, so the map's order does not matter
-		if k.count[other]--; k.count[other] <= 0 {
-			delete(k.count, other)
+	for other := range k.counts { // the order does not matter: all are reduced alike
+		if k.counts[other]--; k.counts[other] <= 0 {
+			delete(k.counts, other)
 		}
 	}
 	return 0
 }
 
-// Snapshot is what was asked lately, by key, and in all; Recall takes both.
-func (k *KeyCounter) Snapshot() (count map[uint64]float64, asked float64) {
-	return maps.Clone(k.count), k.asked
+// Snapshot returns the recent requests by key and in total. Restore takes both.
+func (k *KeyCounter) Snapshot() (counts map[uint64]float64, requests float64) {
+	return maps.Clone(k.counts), k.requests
 }
 
-// Restore takes what another process counted; more than there are counters for is none of it.
-func (k *KeyCounter) Restore(count map[uint64]float64, asked float64) {
-	if len(count) <= counters {
-		k.count, k.asked = maps.Clone(count), min(max(asked, 0), lately)
+// Restore takes over the counts of another process. It ignores them if they are more than there are counters.
+func (k *KeyCounter) Restore(counts map[uint64]float64, requests float64) {
+	if len(counts) <= maxCounters {
+		k.counts, k.requests = maps.Clone(counts), min(max(requests, 0), decayAfter)
 	}
 }
--- a/decide/lifecycle/lifecycle.go
+++ b/decide/lifecycle/lifecycle.go
@@ -1,182 +1,206 @@
-// Package lifecycle says what a proxy is to its clients: starting, serving, sent away, draining, handing back or ended.
-// Signals, calls, a successor and the clock are events to it; front and engine only carry out what it answers.
+// Package lifecycle is the state machine of a proxy process: starting, serving, lame duck, draining, flushing replies
+// and ended. Signals, operators' calls, the presence of a successor and the clock are its inputs; the front and the
+// engine carry out what it returns.
 package lifecycle
 
 import "errors"
 
-// Time is a clock reading or a span in whole tenths of a millisecond.
+// Time is a clock reading or a duration in tenths of a millisecond.
 type Time int64
 
-// State is what the process is.
+// State is the state of the process.
 type State uint8
 
 const (
-	Starting State = iota
-	Serving
-	LameDuck    // clients are told to go elsewhere, and may be taken again
-	Draining    // the process ends
-	HandingBack // what was open has its answer, which is being written
-	Ended
+	Starting        State = iota // not listening yet
+	Serving                      // listening and healthy
+	LameDuck                     // listening, but clients are told to use another proxy; may serve again
+	Draining                     // told to stop; finishing open ops
+	FlushingReplies              // all open ops are answered; their replies are being written
+	Ended                        // nothing is left to do; the process exits
 )
 
-var names = [...]string{"starting", "serving", "sent away", "draining", "handing back", "ended"}
+var stateNames = [...]string{"starting", "serving", "sent away", "draining", "handing back", "ended"}
 
-func (s State) String() string { return names[s] }
+func (s State) String() string { return stateNames[s] }
 
-// IdleCloseShare is the share, 0 to 1, of the connections with nothing on them that have ended by now: where another process takes their
-// clients, these come to it over a while, not all at once.
-func (l *Machine) IdleCloseShare(now Time) float64 {
-	if l.state != Draining || !l.successor || l.IdleCloseSpread <= 0 {
-		return 0
-	}
-	return min(float64(now-l.since)/float64(l.IdleCloseSpread), 1)
-}
-
-// ClosePolicy is what becomes of clients' connections.
+// ClosePolicy is which client connections are closed.
 type ClosePolicy uint8
 
 const (
-	KeepOpen     ClosePolicy = iota
-	CloseAfterReply       // one ends right behind its next answer: its client is least likely to be writing just then
-	CloseInformed          // all end between commands that have asked, or had the time to
-	CloseAll            // all end between commands
+	// KeepOpen closes none.
+	KeepOpen ClosePolicy = iota
+	// CloseAfterReply closes a connection right after its next reply, when its client is least likely to be writing.
+	CloseAfterReply
+	// CloseInformed also closes, between commands, each connection whose client has sent a health check or has had the
+	// time to.
+	CloseInformed
+	// CloseAll closes every connection between commands.
+	CloseAll
 )
 
-// Schedule holds the spans of a drain, counted from its event.
+// Schedule holds the durations of a shutdown, counted from the call that starts it.
 type Schedule struct {
-	ListenFor Time // new connections still come for so long: the fronts have not heard yet
-	ListenForWithSuccessor   Time // and so long where a successor takes them
-	AcceptCommandsFor   Time // commands of a process that ends are taken for so long
-	AnswerOpenAfter   Time // from there on what is open is answered by whatever is safe, at the latest
-	TTLMargin   Time // and so long past the longest time that an op may be open
-	FlushTimeout  Time // from that until the process ends, whatever is left
-	IdleCloseSpread Time // over which connections end that nobody uses, where a successor takes them; 0: together
-	CloseInformedAfter   Time // connections sent away end behind an answer from Coming to here, and all that had the time to ask from here on
+	// ListenFor is how long new connections are accepted, since load balancers have not noticed the shutdown yet.
+	ListenFor Time
+	// ListenForWithSuccessor replaces ListenFor where a successor accepts them.
+	ListenForWithSuccessor Time
+	// AcceptCommandsFor is how long a draining process accepts commands.
+	AcceptCommandsFor Time
+	// AnswerOpenAfter is the latest moment at which all open ops are answered with whatever is safe.
+	AnswerOpenAfter Time
+	// TTLMargin is added to the longest time that an op may be open: ops are answered no later than that, if it is
+	// before AnswerOpenAfter. 0: only AnswerOpenAfter counts.
+	TTLMargin Time
+	// FlushTimeout is the time from answering the open ops until the process ends, whatever is still unwritten.
+	FlushTimeout Time
+	// IdleCloseSpread is the time over which idle connections are closed where a successor takes them. 0: all at once.
+	IdleCloseSpread Time
+	// CloseInformedAfter is when a lame duck changes from CloseAfterReply, in force since ListenFor, to CloseInformed.
+	CloseInformedAfter Time
 }
 
-// ErrEnding is the answer to a call that a process which ends can't follow.
+// ErrEnding is returned for a call that a process which is shutting down can't follow.
 var ErrEnding = errors.New("this process is ending")
 
-// Machine is one process's life. Its zero value is starting, without a plan.
+// Machine is the state machine of one process. Its zero value is starting, with an empty schedule.
 type Machine struct {
 	Schedule
-	state     State
-	since     Time
-	successor bool // another process serves the address
-	away      bool // clients are sent away, also while the process ends
-	hand      Time // when what is open is handed back
-	longest   Time // that an op may be open; 0: not known
+	state         State
+	enteredAt     Time // when the state was entered; for FlushingReplies and Ended, when draining began
+	successor     bool // clients have another process or proxy to go to
+	lameDuck      bool // clients are told to use another proxy, also during a shutdown
+	answerOpenAt  Time // when open ops are answered
+	maxOpDuration Time // longest time that an op may be open; 0: unknown
 }
 
-// SetMaxTTL tells how long an op may be open. Danger: who ends the process gives it no more than that and a little: a command
-// whose last byte came late would be open still.
-func (l *Machine) SetMaxTTL(open Time) { l.longest = open }
-
-func (l *Machine) State() State { return l.state }
-
-// MarkListening tells that clients can connect; away: they were sent away before this process took over, and still are.
-func (l *Machine) MarkListening(now Time, away bool) {
-	if l.state == Starting {
-		if l.state, l.since, l.away = Serving, now, away; away {
-			l.state = LameDuck
+// SetMaxTTL sets the longest time that an op may be open. A supervisor gives the process little more than that before
+// it kills it, so ops are not left open for longer: a command whose last byte came late would still be open then.
+func (m *Machine) SetMaxTTL(duration Time) { m.maxOpDuration = duration }
+
+// State returns the current state.
+func (m *Machine) State() State { return m.state }
+
+// MarkListening records that clients can connect. LameDuck tells that the process takes over from a lame duck and
+// stays one.
+func (m *Machine) MarkListening(now Time, lameDuck bool) {
+	if m.state == Starting {
+		m.state = Serving
+		m.enteredAt = now
+		m.lameDuck = lameDuck
+		if lameDuck {
+			m.state = LameDuck
 		}
 	}
 }
 
-// SetLameDuck sends clients away, or takes them again. Said twice it changes nothing: a second call must not put off what the
-// first began.
-func (l *Machine) SetLameDuck(now Time, away bool) error {
+// SetLameDuck makes the process a lame duck, or serve again. A repeated call changes nothing, so that it can't put off
+// what the first one began. It returns ErrEnding during a shutdown.
+func (m *Machine) SetLameDuck(now Time, lameDuck bool) error {
 	switch {
-	case l.state >= Draining:
+	case m.state >= Draining:
 		return ErrEnding
-	case away && l.state != LameDuck:
-		l.state, l.since, l.away = LameDuck, now, true
-	case !away && l.state == LameDuck:
-		l.state, l.since, l.away = Serving, now, false
+	case lameDuck && m.state != LameDuck:
+		m.state, m.enteredAt, m.lameDuck = LameDuck, now, true
+	case !lameDuck && m.state == LameDuck:
+		m.state, m.enteredAt, m.lameDuck = Serving, now, false
 	}
 	return nil
 }
 
-// Stop begins the end. With a successor clients have where to go at once. Said again it changes nothing at first: some
-// supervisors signal a group and its leader. Whoever says it later has waited enough: what is open is handed back.
-func (l *Machine) Stop(now Time, successor bool) {
+// Stop begins the shutdown. Clients of a lame duck, or with a successor, have somewhere else to go at once. A second
+// call soon after the first changes nothing, since some supervisors signal both a process group and its leader. A call
+// once AcceptCommandsFor has passed means that the caller won't wait any longer: open ops are answered now.
+func (m *Machine) Stop(now Time, successor bool) {
 	switch {
-	case l.state < Draining:
-		l.successor = successor || l.away
-		if l.state, l.since, l.hand = Draining, now, now+l.AnswerOpenAfter; l.longest > 0 && l.TTLMargin > 0 {
-			l.hand = min(l.hand, now+l.longest+l.TTLMargin)
+	case m.state < Draining:
+		m.successor = successor || m.lameDuck
+		m.state = Draining
+		m.enteredAt = now
+		m.answerOpenAt = now + m.AnswerOpenAfter
+		if m.maxOpDuration > 0 && m.TTLMargin > 0 {
+			m.answerOpenAt = min(m.answerOpenAt, now+m.maxOpDuration+m.TTLMargin)
 		}
-	case l.state == Draining && now >= l.since+l.AcceptCommandsFor:
-		l.hand = min(l.hand, now)
+	case m.state == Draining && now >= m.enteredAt+m.AcceptCommandsFor:
+		m.answerOpenAt = min(m.answerOpenAt, now)
 	}
 }
 
-// SetSuccessor tells whether another process serves the address by now. One that has died is none: while this one still
-// listens, it goes on for as long as without one.
-func (l *Machine) SetSuccessor(there bool) {
-	if l.state == Draining {
-		l.successor = there || l.away
+// SetSuccessor sets whether another process serves the address. If it dies while this process still listens, this one
+// listens for as long as it would without a successor.
+func (m *Machine) SetSuccessor(present bool) {
+	if m.state == Draining {
+		m.successor = present || m.lameDuck
 	}
 }
 
-// Duty is what a process that ends has to do.
-type Duty uint8
+// Action is what a process that shuts down has to do.
+type Action uint8
 
 const (
-	None     Duty = iota
-	AnswerOpen      // answer all that is open, once
-	Exit
+	NoAction   Action = iota
+	AnswerOpen        // answer all open ops; returned once
+	Exit              // end the process
 )
 
-// Advance tells what has to be done now.
-func (l *Machine) Advance(now Time) Duty {
+// Advance moves the machine to the present and returns what has to be done now.
+func (m *Machine) Advance(now Time) Action {
 	switch {
-	case l.state == Draining && now >= l.hand:
-		l.state = HandingBack
+	case m.state == Draining && now >= m.answerOpenAt:
+		m.state = FlushingReplies
 		return AnswerOpen
-	case l.state == HandingBack && now >= l.hand+l.FlushTimeout:
-		l.state = Ended
+	case m.state == FlushingReplies && now >= m.answerOpenAt+m.FlushTimeout:
+		m.state = Ended
 	}
-	if l.state == Ended {
+	if m.state == Ended {
 		return Exit
 	}
-	return None
+	return NoAction
 }
 
-// MarkEmpty tells that the last client has gone, or is given up.
-func (l *Machine) MarkEmpty() {
-	if l.state >= Draining {
-		l.state = Ended
+// MarkEmpty records that the last client has disconnected or been given up.
+func (m *Machine) MarkEmpty() {
+	if m.state >= Draining {
+		m.state = Ended
 	}
 }
 
-// Ready tells whether clients can connect. Those sent away still can, and an upgrade of such a proxy has to go on.
-func (l *Machine) Ready() bool { return l.state == Serving || l.state == LameDuck }
+// Ready reports whether clients can connect. They can to a lame duck too, and an upgrade of one must be able to proceed.
+func (m *Machine) Ready() bool { return m.state == Serving || m.state == LameDuck }
 
-// Healthy tells whether PING is answered as by a proxy in use. A process that ends without a successor says yes as ever: its
-// platform knows of the end, and its clients still come for a moment.
-func (l *Machine) Healthy() bool { return !l.away }
+// Healthy reports whether health checks (PING) succeed. They do during a shutdown without a successor: the platform
+// knows of the shutdown, and clients still connect for a moment.
+func (m *Machine) Healthy() bool { return !m.lameDuck }
 
-// Accepting tells whether the address is still listened at.
-func (l *Machine) Accepting(now Time) bool {
-	span := l.ListenFor
-	if l.successor {
-		span = l.ListenForWithSuccessor
+// Accepting reports whether the process still listens at its address.
+func (m *Machine) Accepting(now Time) bool {
+	duration := m.ListenFor
+	if m.successor {
+		duration = m.ListenForWithSuccessor
 	}
-	return l.state < Draining || l.state == Draining && now < l.since+span
+	return m.state < Draining || m.state == Draining && now < m.enteredAt+duration
 }
 
-// ClosePolicy is what becomes of connections now.
-func (l *Machine) ClosePolicy(now Time) ClosePolicy {
+// ClosePolicy returns which client connections are closed now.
+func (m *Machine) ClosePolicy(now Time) ClosePolicy {
 	switch {
-	case l.state == Draining && l.successor && now < l.since+l.IdleCloseSpread:
+	case m.state == Draining && m.successor && now < m.enteredAt+m.IdleCloseSpread:
 		return CloseAfterReply
-	case l.state >= HandingBack, l.state == Draining && now >= l.since+l.AcceptCommandsFor:
+	case m.state >= FlushingReplies, m.state == Draining && now >= m.enteredAt+m.AcceptCommandsFor:
 		return CloseAll
-	case l.state == LameDuck && now >= l.since+l.CloseInformedAfter, l.state == Draining && now >= l.since+l.ListenFor:
+	case m.state == LameDuck && now >= m.enteredAt+m.CloseInformedAfter, m.state == Draining && now >= m.enteredAt+m.ListenFor:
 		return CloseInformed
-	case l.state == Draining && l.successor, l.state == LameDuck && now >= l.since+l.ListenFor:
+	case m.state == Draining && m.successor, m.state == LameDuck && now >= m.enteredAt+m.ListenFor:
 		return CloseAfterReply
 	}
 	return KeepOpen
 }
+
+// IdleCloseShare returns the share, 0 to 1, of idle connections that are closed by now. Where a successor takes over,
+// they move to it gradually and not all at once.
+func (m *Machine) IdleCloseShare(now Time) float64 {
+	if m.state != Draining || !m.successor || m.IdleCloseSpread <= 0 {
+		return 0
+	}
+	return min(float64(now-m.enteredAt)/float64(m.IdleCloseSpread), 1)
+}
--- a/decide/members/members.go
+++ b/decide/members/members.go
@@ -1,43 +1,43 @@
-// Package members holds the servers that a module knows, in a list and in a map that can be walked only through their methods. Each
-// entry that is looked at is counted, so that a test can tell what one event costs, and a walk over all servers can't hide in a loop.
+// Package members provides a list and a map of servers that count each entry they are asked for. The counter lets tests
+// measure what one event costs; since entries are reached only through methods, no loop over all servers goes uncounted.
 package members
 
 import "iter"
 
-// Visits counts entries looked at.
+// Visits counts accesses to entries.
 type Visits struct{ n int }
 
-// Count is the number of entries looked at since the start.
+// Count returns the number of accesses so far.
 func (v *Visits) Count() int { return v.n }
 
-// List is an ordered set of servers. The zero value is empty and counts nothing.
+// List is an ordered set of servers. The zero value is empty and counts no accesses.
 type List[T any] struct {
-	all    []T
-	visits *Visits
+	members []T
+	visits  *Visits
 }
 
-// NewList makes an empty list that counts its visits.
+// NewList returns an empty list that counts its accesses in visits.
 func NewList[T any](visits *Visits) List[T] { return List[T]{visits: visits} }
 
-// Len is the number of entries.
-func (l *List[T]) Len() int { return len(l.all) }
+// Len returns the number of entries.
+func (l *List[T]) Len() int { return len(l.members) }
 
-// At is one entry.
+// At returns the entry at an index.
 func (l *List[T]) At(i int) T {
 	l.count()
-	return l.all[i]
+	return l.members[i]
 }
 
-// Put replaces one entry.
+// Put replaces the entry at an index.
 func (l *List[T]) Put(i int, member T) {
 	l.count()
-	l.all[i] = member
+	l.members[i] = member
 }
 
-// All walks all entries.
+// All iterates over indexes and entries in order. Each entry yielded counts as one access.
 func (l *List[T]) All() iter.Seq2[int, T] {
 	return func(yield func(int, T) bool) {
-		for i, member := range l.all {
+		for i, member := range l.members {
 			l.count()
 			if !yield(i, member) {
 				return
@@ -46,27 +46,27 @@
 	}
 }
 
-// Append adds an entry.
+// Append adds an entry at the end.
 func (l *List[T]) Append(member T) {
 	l.count()
-	l.all = append(l.all, member)
+	l.members = append(l.members, member)
 }
 
-// Reset empties the list to a length of zero values, and keeps its memory if that is enough.
+// Reset sets the list to length zero values and reuses its memory where that suffices. It counts no accesses.
 func (l *List[T]) Reset(length int) {
-	if cap(l.all) < length {
-		l.all = make([]T, length)
+	if cap(l.members) < length {
+		l.members = make([]T, length)
 	}
-	l.all = l.all[:length]
-	clear(l.all)
+	l.members = l.members[:length]
+	clear(l.members)
 }
 
-// Sort orders the entries by a function that works on the whole list.
+// Sort sorts the entries by a function that takes the whole slice. It counts one access per entry.
 func (l *List[T]) Sort(sort func([]T)) {
-	for range l.all {
+	for range l.members {
 		l.count()
 	}
-	sort(l.all)
+	sort(l.members)
 }
 
 func (l *List[T]) count() {
@@ -75,42 +75,42 @@
 	}
 }
 
-// Map is a set of servers by their ids.
+// Map is a set of servers by ID.
 type Map[K comparable, T any] struct {
-	all    map[K]T
-	visits *Visits
+	members map[K]T
+	visits  *Visits
 }
 
-// NewMap makes an empty map that counts its visits.
+// NewMap returns an empty map that counts its accesses in visits.
 func NewMap[K comparable, T any](visits *Visits) Map[K, T] {
-	return Map[K, T]{all: map[K]T{}, visits: visits}
+	return Map[K, T]{members: map[K]T{}, visits: visits}
 }
 
-// Len is the number of entries.
-func (m *Map[K, T]) Len() int { return len(m.all) }
+// Len returns the number of entries.
+func (m *Map[K, T]) Len() int { return len(m.members) }
 
-// Get is one entry, the zero value if there is none.
+// Get returns the entry with an ID, or the zero value if there is none.
 func (m *Map[K, T]) Get(id K) T {
 	m.count()
-	return m.all[id]
+	return m.members[id]
 }
 
-// Put sets one entry.
+// Put sets the entry with an ID.
 func (m *Map[K, T]) Put(id K, member T) {
 	m.count()
-	m.all[id] = member
+	m.members[id] = member
 }
 
-// Delete removes one entry.
+// Delete removes the entry with an ID.
 func (m *Map[K, T]) Delete(id K) {
 	m.count()
-	delete(m.all, id)
+	delete(m.members, id)
 }
 
-// All walks all entries, in no order.
+// All iterates over IDs and entries in no particular order. Each entry yielded counts as one access.
 func (m *Map[K, T]) All() iter.Seq2[K, T] {
 	return func(yield func(K, T) bool) {
-		for id, member := range m.all {
+		for id, member := range m.members {
 			m.count()
 			if !yield(id, member) {
 				return
--- a/decide/overload/overload.go
+++ b/decide/overload/overload.go
@@ -1,61 +1,66 @@
-// Package overload says what is done for requests while the event loop that decides on them is behind: which are turned away at the door, and
-// which that wait inside are answered without it.
+// Package overload decides which requests to shed while the event loop that routes them lags behind: which to reject on
+// arrival, and which of those already queued to answer without the loop.
 package overload
 
-// Time is a span in nanoseconds.
+// Time is a duration in nanoseconds.
 type Time int64
 
 const millisecond Time = 1e6
 
 const (
-	// mostLag is the age of the oldest waiting event from which on no request is taken.
-	mostLag = 250 * millisecond
-	// behind is the age from which on the event loop counts as behind; for a request with little time a part of that.
-	behind = 40 * millisecond
-	// behindPart is that part of its time.
-	behindPart = 4
+	// rejectAllLag is the loop's lag above which every new request is rejected.
+	rejectAllLag = 250 * millisecond
+	// behindLag is the lag from which the event loop counts as behind.
+	behindLag = 40 * millisecond
+	// behindDivisor applies to requests with short timeouts: the loop counts as behind from the request's timeout
+	// divided by it, if that is less than behindLag.
+	behindDivisor = 4
 )
 
-// ShouldReject tells whether a request is refused as it comes: the oldest event has waited so long that its turn would come too late, or
-// that nobody knows when it comes at all.
-func ShouldReject(lag, left Time) bool { return lag > mostLag || lag > behind && lag > left/2 }
+// ShouldReject reports whether to reject a new request that has the remaining time until its client stops waiting. Lag
+// is the age of the oldest waiting event. A request is rejected if it would be reached too late, or if the lag is so
+// long that nobody can tell when it would be reached.
+func ShouldReject(lag, remaining Time) bool {
+	return lag > rejectAllLag || lag > behindLag && lag > remaining/2
+}
 
-// Request is what is known of one that was taken.
+// Request is the state of an accepted request.
 type Request struct {
-	Waited   Time // since it came
-	Remaining     Time // until its client stops waiting
-	Attempted    bool // an attempt has begun: a refusal would promise too much
-	Answered bool // an attempt's answer has come, and waits for the event loop
+	Waited    Time // since its arrival
+	Remaining Time // until its client stops waiting; negative after that
+	Attempted bool // an attempt was sent, so it may have run and can't be refused any more
+	Answered  bool // an attempt's answer has arrived and waits for the event loop
 }
 
-// Action is what is done for a request.
+// Action is what to do with a request.
 type Action uint8
 
 const (
-	Wait   Action = iota // the event loop may still come to it
-	Refuse               // no attempt was begun, and none will be
-	Fail                 // it may have run
-	Serve                // by the answer that has come
+	Wait   Action = iota // leave it to the event loop
+	Refuse               // answer that it was not run: no attempt was sent, and none will be
+	Fail                 // answer with an error: it may have run
+	Serve                // answer with the response that has arrived
 )
 
-// Decide tells what is done for a request while the oldest event has waited for so long. One without an attempt is refused at half of its time: its
-// client can still be served elsewhere. One with an attempt is answered when its time is nearly over.
+// Decide returns what to do with a request, given the event loop's lag. A request without an attempt is refused at half
+// of its timeout, while its client can still be served elsewhere. One with an attempt fails when a sixteenth of its
+// timeout is left.
 func Decide(r Request, lag Time) Action {
-	whole := r.Waited + r.Remaining
+	timeout := r.Waited + r.Remaining
 	switch {
-	case lag < min(behind, whole/behindPart):
+	case lag < min(behindLag, timeout/behindDivisor):
 		return Wait
 	case r.Answered:
 		return Serve
-	case !r.Attempted && r.Waited >= whole/2:
+	case !r.Attempted && r.Waited >= timeout/2:
 		return Refuse
-	case r.Attempted && r.Remaining <= whole/16:
+	case r.Attempted && r.Remaining <= timeout/16:
 		return Fail
 	}
 	return Wait
 }
 
-// DecideAtShutdown tells what is done for a request as the process ends, and the event loop does not come to it.
+// DecideAtShutdown returns what to do with a request that the event loop has not reached when the process exits.
 func DecideAtShutdown(r Request) Action {
 	switch {
 	case r.Answered:
--- a/decide/pace/pace.go
+++ b/decide/pace/pace.go
@@ -1,46 +1,52 @@
-// Package pace gives an instance of many its pace back at a server that all share and that was short. Each comes there once
-// in seconds, and a quick answer tells it nothing by itself: at a server that is asked no more than it does, nine in ten are
-// quick, however short it is. So it tries: it jumps to the pace of before at once, and what follows tells. A jump that was
-// wrong is taken back to where it began, not cut on from there, and the next one waits for four times as many quick answers
-// in a row; one that holds makes the next as cheap as the first. A server that is free has its pace back within an answer
-// each, and one that stays short is tried less and less. Nothing here reads a clock or draws by chance.
+// Package pace restores the request rate of one of many clients of a shared server after the server was overloaded. Each
+// client sends it only one request in seconds, and one fast answer says little: a server that gets no more than it can
+// do answers nine requests in ten quickly, however low that is. So the client probes: it jumps back to its former rate
+// at once and judges by what follows. A wrong jump is undone, down to the rate it began at and not cut from the higher
+// one, and the next jump needs four times as many fast answers in a row. After a jump that holds, the next needs only
+// one. Clients of a server that has recovered thus regain their rate within one answer each, and one that stays
+// overloaded is probed less and less. The package reads no clock and draws no random numbers.
 package pace
 
 const (
-	held    = 3       // quick answers more than a jump took, until it is held for right
-	dearer  = 4       // times as many quick answers before a jump that follows a wrong one
-	dearest = 64      // of them
-	back    = 4.0 / 5 // of the pace that a wrong jump began at
+	confirmMargin   = 3       // fast answers beyond those a jump needed, until it is taken as right
+	wrongJumpFactor = 4       // by which a wrong jump multiplies the fast answers needed for the next
+	maxJumpAnswers  = 64      // limit of that number
+	undoneShare     = 4.0 / 5 // of the rate that a wrong jump began at; it is the rate afterwards
 )
 
-// Recovery is one instance's way back. The zero value has never lost its pace.
+// Recovery is one client's return to its former rate. The zero value has never been cut.
 type Recovery struct {
-	best float64 // the highest pace that was ever cut
-	from float64 // that the last jump began at; 0: none is to be judged
-	row  int     // quick answers since a cut, or since the jump
-	need int     // so many before one
+	highest        float64 // highest rate that was ever cut
+	jumpFrom       float64 // rate at which the pending jump began; 0: no jump is pending
+	quickStreak    int     // fast answers in a row since the last cut or jump
+	requiredStreak int     // fast answers in a row needed for a jump
 }
 
-// ObserveQuick books an answer as quick as ever, and gives the pace that follows.
-func (b *Recovery) ObserveQuick(pace float64) float64 {
-	b.row++
+// ObserveQuick records an answer as fast as usual and returns the new rate.
+func (r *Recovery) ObserveQuick(rate float64) float64 {
+	r.quickStreak++
 	switch {
-	case b.from > 0 && b.row > b.need+held:
-		b.from, b.row, b.need = 0, 0, 1
-	case b.from == 0 && pace < b.best && b.row >= b.need:
-		b.from, b.row = pace, 0
-		return b.best
+	case r.jumpFrom > 0 && r.quickStreak > r.requiredStreak+confirmMargin:
+		r.jumpFrom, r.quickStreak, r.requiredStreak = 0, 0, 1
+	case r.jumpFrom == 0 && rate < r.highest && r.quickStreak >= r.requiredStreak:
+		r.jumpFrom, r.quickStreak = rate, 0
+		return r.highest
 	}
-	return pace
+	return rate
 }
 
-// ObserveCut books that a pace is about to be cut, for a failure or one slow answer. It tells whether a jump was wrong: then the
-// pace is back where it has to be, and is not cut.
-func (b *Recovery) ObserveCut(pace *float64, failed bool) (wrong bool) {
-	if b.from > 0 && failed {
-		*pace, b.from, b.row, b.need = b.from*back, 0, 0, min(dearer*b.need, dearest)
+// ObserveCut records that a rate is about to be cut, after a failure or one slow answer. It returns true if a failure
+// shows a pending jump to be wrong: the rate has been set to what it should be, and must not be cut further.
+func (r *Recovery) ObserveCut(rate *float64, failed bool) (wrongJump bool) {
+	if r.jumpFrom > 0 && failed {
+		*rate = r.jumpFrom * undoneShare
+		r.jumpFrom = 0
+		r.quickStreak = 0
+		r.requiredStreak = min(wrongJumpFactor*r.requiredStreak, maxJumpAnswers)
 		return true
 	}
-	b.best, b.row, b.need = max(b.best, *pace), 0, max(b.need, 1)
+	r.highest = max(r.highest, *rate)
+	r.quickStreak = 0
+	r.requiredStreak = max(r.requiredStreak, 1)
 	return false
 }
--- a/decide/pace/pace_test.go
+++ b/decide/pace/pace_test.go
@@ -6,64 +6,66 @@
 	"pgregory.net/rapid"
 )
 
-func TestBack(t *testing.T) {
-	var b Recovery
-	p := 12.0
-	if b.ObserveQuick(p) != p {
-		t.Error("jumps with nothing lost")
+// Guards against jumps without a cut before, wrong jumps that are not undone or are repeated too soon, and right ones that
+// leave the next jump expensive.
+func TestRecovery(t *testing.T) {
+	var r Recovery
+	rate := 12.0
+	if r.ObserveQuick(rate) != rate {
+		t.Error("the rate changed before any cut")
 	}
-	b.ObserveCut(&p, true)
-	p = 0.1
-	if p = b.ObserveQuick(p); p != 12 {
-		t.Errorf("%v, not what it was", p)
+	r.ObserveCut(&rate, true)
+	rate = 0.1
+	if rate = r.ObserveQuick(rate); rate != 12 {
+		t.Errorf("rate %v after a fast answer, want the former 12", rate)
 	}
-	if !b.ObserveCut(&p, true) || p < 0.079 || p > 0.081 {
-		t.Errorf("a wrong jump leaves %v", p)
+	if !r.ObserveCut(&rate, true) || rate < 0.079 || rate > 0.081 {
+		t.Errorf("rate %v after a wrong jump from 0.1, want 0.08", rate)
 	}
 	for i := range 3 {
-		if b.ObserveQuick(p) != p {
-			t.Errorf("jumps again after %d", i+1)
+		if r.ObserveQuick(rate) != rate {
+			t.Errorf("jumps again after %d fast answers, want 4", i+1)
 		}
 	}
-	if b.ObserveCut(&p, true) {
-		t.Error("a failure without a jump is taken for one")
+	if r.ObserveCut(&rate, true) {
+		t.Error("a failure with no jump pending counts as a wrong jump")
 	}
 	n := 0
-	for q := p; q == p; n++ {
-		q = b.ObserveQuick(p)
+	for next := rate; next == rate; n++ {
+		next = r.ObserveQuick(rate)
 	}
-	if n != 4 || b.ObserveCut(&p, false) {
-		t.Errorf("jumps after %d quick answers in a row; or one slow answer takes it back", n)
+	if n != 4 || r.ObserveCut(&rate, false) {
+		t.Errorf("jumps after %d fast answers in a row, want 4; or a slow answer without a failure undoes the jump", n)
 	}
-	b.ObserveCut(&p, true)
-	for range 60 { // held for right: the next costs one answer
-		p = b.ObserveQuick(p)
+	r.ObserveCut(&rate, true)
+	for range 60 { // the jump is confirmed
+		rate = r.ObserveQuick(rate)
 	}
-	if b.ObserveCut(&p, true); b.ObserveQuick(0.1) != 12 {
-		t.Error("a jump that held makes the next no cheaper")
+	if r.ObserveCut(&rate, true); r.ObserveQuick(0.1) != 12 {
+		t.Error("no jump after one fast answer, although the jump before was right")
 	}
 }
 
-// At a server that is short for good, one wrong jump in a row of quick answers costs less and less: of n answers, about
-// the logarithm of n are to jumps, up to the dearest. The pace is never over what it once was, nor 0.
+// Guards against a server that stays overloaded and is probed as often as before: wrong jumps must get rarer, down to one
+// in maxJumpAnswers fast answers. The rate must stay above 0 and never exceed the former one.
 func TestWrongJumpsGetRare(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b, p, was := Recovery{}, 8.0, 8.0
-		b.ObserveCut(&p, true)
-		p = rapid.Float64Range(0.01, 1).Draw(t, "pace")
+		r, rate, former := Recovery{}, 8.0, 8.0
+		r.ObserveCut(&rate, true)
+		rate = rapid.Float64Range(0.01, 1).Draw(t, "pace")
 		wrong := 0
 		for range 1000 {
-			q := b.ObserveQuick(p)
-			if q > p { // the next push fails
-				if q > was || !b.ObserveCut(&q, true) || q <= 0 || q > p {
-					t.Fatalf("pace %v after a jump from %v", q, p)
+			next := r.ObserveQuick(rate)
+			if next > rate { // a jump, and the next push fails
+				if next > former || !r.ObserveCut(&next, true) || next <= 0 || next > rate {
+					t.Fatalf("rate %v after a jump from %v", next, rate)
 				}
-				q, wrong = p, wrong+1
+				next, wrong = rate, wrong+1
 			}
-			p = q
+			rate = next
 		}
-		if wrong > 4+1000/dearest {
-			t.Fatalf("%d wrong jumps in 1000 answers", wrong)
+		if wrong > 4+1000/maxJumpAnswers {
+			t.Fatalf("%d wrong jumps in 1000 answers, want at most %d", wrong, 4+1000/maxJumpAnswers)
 		}
 	})
 }
--- a/decide/roster/roster.go
+++ b/decide/roster/roster.go
@@ -1,47 +1,52 @@
-// Package roster judges a whole list of caches before it takes the place of the old one: a list service that has lost its
-// memory, or is half started, answers as calmly as ever, with few caches or none. Nothing here reads a clock.
+// Package roster checks a new list of caches before it replaces the old one. A list service that has lost its state, or
+// is still starting, answers without an error, but with few caches or none. The package reads no clock.
 package roster
 
-// Verdict is what becomes of a whole list.
+// Verdict is what to do with a list.
 type Verdict uint8
 
 const (
-	Take Verdict = iota
-	// Hold: what the list says holds, of drains above all; caches that it does not name stay, and it is asked for again.
+	// Accept replaces the old list.
+	Accept Verdict = iota
+	// Hold applies what the list says about the caches that it names, drains above all, keeps those that it does not name,
+	// and asks for the list again.
 	Hold
 )
 
-// Guard holds a list in doubt until it has said the same for a while. The zero value takes each. Three cases:
-// caches that a list says are draining or have left are never held, whatever their number; a list that names caches
-// but lacks many is believed once it has lacked as many for a span that lies within a drain's grace; one that names none is
-// never believed: a fleet ends cache by cache, drained or left, and those that are truly gone are found out by their
-// connections.
+// Guard holds a list that lacks too many caches until the service has repeated it for a while. The zero value accepts
+// every list. There are three cases. Caches that a list reports as draining or gone are never held, whatever their
+// number. A list that names caches but lacks many is accepted once it has lacked as many for ConfirmAfter, which should
+// lie within the grace period of a drain. An empty list is never accepted: a fleet shrinks cache by cache, by drains and
+// departures, and caches that are gone without one are found by their connections.
 type Guard[T ~int64] struct {
-	MaxMissingShare   float64 // share of the caches in use that a list may not lack at once; 0: each list is taken
-	ConfirmAfter T
+	MaxMissingShare float64 // share of the caches in use that a list must lack to be held, 0 to 1; 0: accept every list
+	ConfirmAfter    T       // time after which a repeated list is accepted
 
-	held  bool
-	since T
-	lacks int  // what the last one in doubt lacked
-	empty bool // and whether it named nothing
+	holding     bool
+	heldSince   T
+	lastMissing int  // caches that the last held list lacked
+	lastEmpty   bool // the last held list named none
 }
 
-// Evaluate judges a list: known caches were in use before it, of which it lacks some, undrained; it names so many in use.
-func (g *Guard[T]) Evaluate(now T, known, lacks, named int) Verdict {
-	if g.MaxMissingShare <= 0 || lacks == 0 || float64(lacks) < g.MaxMissingShare*float64(known) && named > 0 {
-		g.held = false
-		return Take
+// Evaluate judges a list: of the known caches in use it lacks missing ones that were not drained, and it names as many
+// caches in use as named.
+func (g *Guard[T]) Evaluate(now T, known, missing, named int) Verdict {
+	if g.MaxMissingShare <= 0 || missing == 0 || float64(missing) < g.MaxMissingShare*float64(known) && named > 0 {
+		g.holding = false
+		return Accept
 	}
-	if !g.held || g.empty && named > 0 || lacks < g.lacks { // a service that finds its memory again says more each time
-		g.held, g.since = true, now
+	// A list that names more than the last one comes from a service that is still recovering its state, so the time starts
+	// again.
+	if !g.holding || g.lastEmpty && named > 0 || missing < g.lastMissing {
+		g.holding, g.heldSince = true, now
 	}
-	g.lacks, g.empty = lacks, named == 0
-	if named > 0 && now >= g.since+g.ConfirmAfter {
-		g.held = false
-		return Take
+	g.lastMissing, g.lastEmpty = missing, named == 0
+	if named > 0 && now >= g.heldSince+g.ConfirmAfter {
+		g.holding = false
+		return Accept
 	}
 	return Hold
 }
 
-// Holding tells whether the last list is in doubt.
-func (g *Guard[T]) Holding() bool { return g.held }
+// Holding reports whether the last list is held.
+func (g *Guard[T]) Holding() bool { return g.holding }
--- a/decide/shortage/shortage.go
+++ b/decide/shortage/shortage.go
@@ -1,6 +1,6 @@
-// Package shortage tells when a fleet is short as a whole, and how much of what is asked it can still answer. One
-// of hundreds of proxies comes to each server once in a minute, so that only what all servers did lately, taken
-// together, can tell it in time. Nothing here reads a clock, draws by chance or keeps what it is handed.
+// Package shortage detects when the whole fleet is overloaded and computes the share of ops to admit. One of hundreds of
+// proxies sends each server about one push a minute, so only the recent results of all servers together can show it in
+// time. The package reads no clock, draws no random numbers and keeps none of its arguments.
 package shortage
 
 import (
@@ -9,52 +9,70 @@
 )
 
 const (
-	bound = 1.0 / 2   // share of slow pushes at which the gate stands still; a sick part stays well under it
-	gain  = 1.0 / 2   // what a push moves the gate by, for each part that it is slower than the bound
-	again = 1.0 / 50  // by how much an op that was refused opens it
-	least = 1.0 / 4   // of all ops is let through whatever is seen
-	slack = 1.0 / 2   // so far it has to move before anything is refused: what chance alone may bring
-	boost = 4         // most that a push counts for the ops refused beside it, and for quick ones in a row
-	quick = 1.0 / 3   // of its target latency: a push is not slow at all
-	slow  = 2.0 / 3   // of it: as slow as can be, long before it is given up
-	times = 5         // a target latency is taken for so many usual answers at least
-	first = 1.0 / 10  // what is taken for usual at first, lest a proxy that starts in a jam takes that for usual
-	rise  = 1.0 / 256 // steps of what is usual, up and down: a ninth of the answers are quicker
-	fall  = 1.0 / 32
+	// balancedSlowShare is the share of slow pushes at which the gate does not move. A few failing servers stay well below
+	// it.
+	balancedSlowShare = 1.0 / 2
+	// pushGain is the step of the gate per push, for each unit of lateness above balancedSlowShare.
+	pushGain = 1.0 / 2
+	// refusalStep is by how much each refused op opens the gate.
+	refusalStep = 1.0 / 50
+	// minAdmittedShare is the share of ops that are admitted whatever is observed.
+	minAdmittedShare = 1.0 / 4
+	// deadBand is the movement of the gate before anything is refused; chance alone may cause that much.
+	deadBand = 1.0 / 2
+	// maxBoost limits a push's factor for the ops refused beside it, and its factor for fast answers in a row.
+	maxBoost = 4
+	// notSlow is the share of the target latency up to which a push is not slow at all.
+	notSlow = 1.0 / 3
+	// fullySlow is the share of the target latency from which a push counts as fully slow, long before it times out.
+	fullySlow = 2.0 / 3
+	// minTargetMultiple is the multiple of the typical answer time that the target latency is raised to if it is less.
+	minTargetMultiple = 5
+	// initialTypical is the first typical answer time, in target latencies. It is low, so that a proxy that starts during
+	// an overload does not take that for typical.
+	initialTypical = 1.0 / 10
+	// typicalRise and typicalFall are the relative steps of the typical answer time. By their ratio a ninth of the answers
+	// are faster.
+	typicalRise = 1.0 / 256
+	typicalFall = 1.0 / 32
 )
 
-// Gate lets a share of all ops through. The zero value stands open.
+// Gate admits a share of all ops. The zero value admits all.
 type Gate struct {
-	shut  float64 // minus the logarithm of the share that is let through; below 0 nothing is refused
-	usual float64 // what an answer takes when all is well, in target latencies
-	row   float64 // what the next quick answer counts: doubled by each in a row
+	shut        float64 // minus the natural logarithm of the admitted share; below 0 nothing is refused
+	typical     float64 // answer time without overload, in target latencies
+	quickFactor float64 // weight of the next fast answer; doubled by each in a row
 }
 
-// ObservePush books a push: weight, 0 to 1, is how much its end tells of a server's load; span how long it took, in target
-// latencies; share the gate's when it was sent. Half of all pushes slow is more than a sick part brings, and
-// less than a jam does. What went out before the gate shut further proves less, for it met what that came of; a
-// push counts for the ops that were refused beside it. A jam has few quick answers in a row, its end has many.
+// ObservePush records the end of a push. Weight, 0 to 1, is how much it says about a server's load; span is the time it
+// took, in target latencies; share is AdmittedShare at the time it was sent.
+//
+// The gate shuts if more than half of the pushes are slow: that is more than a few failing servers cause, and less than
+// an overload does. A push sent before the gate shut further counts for less, since it met the load that the gate has
+// reacted to since. Each push also counts for the ops that were refused beside it. Fast answers in a row count more:
+// there are few such rows in an overload, and many at its end.
 func (g *Gate) ObservePush(weight, span, share float64) {
 	if weight <= 0 {
 		return
 	}
-	if g.usual = cmp.Or(g.usual, first); span < g.usual {
-		g.usual -= g.usual * fall
+	if g.typical = cmp.Or(g.typical, initialTypical); span < g.typical {
+		g.typical -= g.typical * typicalFall
 	} else {
-		g.usual += g.usual * rise
+		g.typical += g.typical * typicalRise
 	}
-	late := min(max((span/max(1, times*g.usual)-quick)/(slow-quick), 0), 1)
-	step := gain * weight * min(1/g.AdmittedShare(), boost) * (late - bound)
+	lateness := min(max((span/max(1, minTargetMultiple*g.typical)-notSlow)/(fullySlow-notSlow), 0), 1)
+	step := pushGain * weight * min(1/g.AdmittedShare(), maxBoost) * (lateness - balancedSlowShare)
 	if step > 0 {
-		g.row, step = 1, step*min(g.AdmittedShare()/share, 1)
+		g.quickFactor, step = 1, step*min(g.AdmittedShare()/share, 1)
 	} else {
-		g.row, step = min(2*g.row, boost), step*max(g.row, 1)
+		g.quickFactor, step = min(2*g.quickFactor, maxBoost), step*max(g.quickFactor, 1)
 	}
-	g.shut = min(max(g.shut+step, -slack), -math.Log(least))
+	g.shut = min(max(g.shut+step, -deadBand), -math.Log(minAdmittedShare))
 }
 
-// ObserveRefusal opens the gate a little: nothing else would tell of the end of a shortage where hardly a push goes out.
-func (g *Gate) ObserveRefusal() { g.shut = max(g.shut-again, -slack) }
+// ObserveRefusal records an op that was refused, and opens the gate a little. With hardly any pushes sent, nothing else
+// would show that the shortage has ended.
+func (g *Gate) ObserveRefusal() { g.shut = max(g.shut-refusalStep, -deadBand) }
 
-// AdmittedShare is the part of all ops that is let through, 1 where no shortage is seen.
+// AdmittedShare returns the share of all ops to admit, minAdmittedShare to 1; it is 1 while no shortage is detected.
 func (g *Gate) AdmittedShare() float64 { return math.Exp(-max(g.shut, 0)) }
--- a/decide/slowstart/slowstart_test.go
+++ b/decide/slowstart/slowstart_test.go
@@ -12,8 +12,8 @@
 	start                  int64
 }
 
-// walked are the totals by a walk over all servers.
-func walked(ramp Ramp[int64], all []server, now int64) (t Totals) {
+// walk computes the totals server by server.
+func walk(ramp Ramp[int64], all []server, now int64) (t Totals) {
 	for _, s := range all {
 		t.Weight += s.weight * ramp.Share(s.start, now)
 		t.Size += s.size * ramp.Share(s.start, now)
@@ -22,8 +22,9 @@
 	return t
 }
 
-// The sums are those of a walk, but for slow starts that end between two resets: then they are larger, by what grows meanwhile at most.
-func TestSumsAreThoseOfAWalk(t *testing.T) {
+// Guards against sums that differ from a walk over all servers. Only a slow start that ends between two resets may make
+// them larger, by at most what it grows until the next reset.
+func TestSumsMatchAWalk(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ramp := Ramp[int64]{rapid.Float64Range(0, 1).Draw(t, "from"), rapid.Int64Range(1, 100000).Draw(t, "span")}
 		base := int64(1_000_000)
@@ -44,23 +45,23 @@
 			}
 		}
 		tick := rapid.Int64Range(0, 500).Draw(t, "tick")
-		got, want := s.At(base+tick), walked(ramp, all, base+tick)
-		grown := weights * (1 - ramp.InitialShare) * float64(tick) / float64(ramp.Duration)
-		if got.Weight < want.Weight-1e-6 || got.Weight > want.Weight+grown+1e-6 || got.Size < want.Size-1e-6 {
-			t.Fatalf("%+v, a walk gives %+v", got, want)
+		got, want := s.At(base+tick), walk(ramp, all, base+tick)
+		maxExcess := weights * (1 - ramp.InitialShare) * float64(tick) / float64(ramp.Duration)
+		if got.Weight < want.Weight-1e-6 || got.Weight > want.Weight+maxExcess+1e-6 || got.Size < want.Size-1e-6 {
+			t.Fatalf("sums %+v, walk %+v", got, want)
 		}
 		if math.Abs(got.Answered-want.Answered) > 1e-6 {
-			t.Fatalf("answered %v, a walk gives %v", got.Answered, want.Answered)
+			t.Fatalf("answered: sums %v, walk %v", got.Answered, want.Answered)
 		}
 	})
 }
 
-// What is answered is not known after Forget, and is again after a reset.
-func TestForget(t *testing.T) {
+// Guards against answers that still count after ForgetAnswered, and against one that forgets the other sums.
+func TestForgetAnswered(t *testing.T) {
 	var s Sums[int64]
 	s.Reset(Ramp[int64]{0.5, 100}, 0)
 	s.Add(1, 1, 30, 0)
 	if s.ForgetAnswered(); s.At(0) != (Totals{1, 1, 0}) {
-		t.Errorf("%+v", s.At(0))
+		t.Errorf("totals %+v, want weight 1, size 1, answered 0", s.At(0))
 	}
 }
--- a/decide/warm/warm.go
+++ b/decide/warm/warm.go
@@ -1,6 +1,6 @@
-// Package warm is what one process leaves to the next: what it has learned, as plain figures. Those of a file fade with
-// their age; those handed over by a process that still serves are halved where both together must not send more than one
-// did. Times are in tenths of a millisecond. Nothing here reads a clock or a file.
+// Package warm holds what a process has learned, for the process that follows it. State read from a file decays with its
+// age. State handed over by a process that goes on serving is halved where the two together must not send more than one
+// did. Times are in tenths of a millisecond. The package reads no clock and no files.
 package warm
 
 import (
@@ -10,131 +10,136 @@
 	"minttray/decide/evidence"
 )
 
+// Limits on the lengths of lists.
 const (
-	MaxKeys    = 4096 // kept ones
-	mostServers = 1 << 13
-	mostSmall   = 1 << 12 // of each other list
+	MaxKeys        = 4096 // recent keys
+	maxServers     = 1 << 13
+	maxListEntries = 1 << 12 // of each other list
 )
 
-// ServerState is what was learned of a cache or of the origin.
+// ServerState is what was learned about a cache or the origin.
 type ServerState struct {
-	Name  string          `json:"name"`  // by the list
-	Start int64           `json:"start"` // a newer process gets nothing of this
-	LimitCut   bool            `json:"cut"`   // its limit was ever cut, so was learned
-	MinLatency  int64           `json:"near"`  // least that an answer takes
-	LatencyBins  []float64       `json:"seen"`  // evidence.Spans of its answers
-	Record    evidence.Record `json:"of"`
+	Name        string          `json:"name"`  // as in the list of caches
+	Start       int64           `json:"start"` // start time of the server's process; the state of another process does not apply
+	LimitCut    bool            `json:"cut"`   // the concurrency limit was reduced at least once, so it was learned
+	MinLatency  int64           `json:"near"`  // minimum time of an answer
+	LatencyBins []float64       `json:"seen"`  // evidence.LatencyHistogram of its answers
+	Record      evidence.Record `json:"of"`
 }
 
-// ClientTimeout is a category's and tenant's usual wait.
+// ClientTimeout is how long clients of a category and tenant usually wait.
 type ClientTimeout struct {
 	Category int   `json:"category"`
 	Tenant   int   `json:"tenant"`
-	Timeout     int64 `json:"span"`
-	Votes    int   `json:"votes"`
+	Timeout  int64 `json:"span"`
+	Votes    int   `json:"votes"` // see evidence.ClientTimeout
 }
 
-// MachineKind is a kind of machine.
+// MachineKind is what was learned about a kind of machine.
 type MachineKind struct {
-	Kind   int     `json:"kind"`
-	OctavesSlower float64 `json:"slower"` // octaves
-	MeanLog2   float64 `json:"mean"`
-	Samples   float64 `json:"seen"`
-	ReportBaseline   float64 `json:"pace"` // its usual report; 0: none
+	Kind           int     `json:"kind"`
+	OctavesSlower  float64 `json:"slower"` // than the fastest kind, 0 to 1
+	MeanLog2       float64 `json:"mean"`   // mean binary logarithm of its answer times
+	Samples        float64 `json:"seen"`   // answers in that mean
+	ReportBaseline float64 `json:"pace"`   // typical value of its load reports; 0: none
 }
 
-// HotKey is a key that was asked for lately, so often.
+// HotKey is the decaying count of recent requests for a key.
 type HotKey struct {
 	Key   uint64  `json:"key"`
 	Count float64 `json:"count"`
 }
 
-// LearnedState is all of it.
+// LearnedState is all that a process has learned.
 type LearnedState struct {
-	Caches map[uint32]ServerState `json:"caches"`
-	Origin ServerState            `json:"origin"`
-	Shadow ServerState            `json:"shadow"` // the origin, as pushes that may fetch show it
-	LatencyBins  []float64         `json:"usual"`  // evidence.Spans of all caches' answers
-	RecentKeys   []uint64          `json:"kept"`   // keys that caches hold
-	HotKeys    []HotKey             `json:"hot"`
-	KeyRequests  float64           `json:"asked"` // what Hot counts are of
-	ClientTimeouts  []ClientTimeout            `json:"waits"`
-	Tokens []float64         `json:"tokens"` // by tenant
-	Kinds  []MachineKind            `json:"kinds"`
-	Departed   map[string]int64  `json:"left"` // caches that were draining or gone, by name: when they had started
-
-	HandedOver bool    `json:"-"` // by a process that serves, just now: what it knows of cold caches holds
-	Confidence   float64 `json:"-"` // 0 to 1: what a learned figure counts against what a process that knows nothing begins with
-	Age    int64   `json:"-"`
+	Caches         map[uint32]ServerState `json:"caches"` // by cache ID
+	Origin         ServerState            `json:"origin"`
+	Shadow         ServerState            `json:"shadow"` // the origin, as seen by pushes that may fetch from it
+	LatencyBins    []float64              `json:"usual"`  // evidence.LatencyHistogram of the answers of all caches
+	RecentKeys     []uint64               `json:"kept"`   // keys that caches hold
+	HotKeys        []HotKey               `json:"hot"`
+	KeyRequests    float64                `json:"asked"` // total that the counts in HotKeys are part of
+	ClientTimeouts []ClientTimeout        `json:"waits"`
+	Tokens         []float64              `json:"tokens"` // by tenant
+	Kinds          []MachineKind          `json:"kinds"`
+	Departed       map[string]int64       `json:"left"` // start times of caches that were draining or gone, by name
+
+	HandedOver bool    `json:"-"` // by a process that serves now: what it knows about cold caches still applies
+	Confidence float64 `json:"-"` // weight of learned values against initial ones, 0 to 1
+	Age        int64   `json:"-"` // time since the state was stored
 }
 
-func figure(x float64) bool { return x >= 0 && x < 1<<40 }
+// plausible reports whether a count or duration is in the range that a process can have learned.
+func plausible(x float64) bool { return x >= 0 && x < 1<<40 }
 
-func figures(all []float64) bool {
-	for _, x := range all {
-		if !figure(x) {
+func allPlausible(values []float64) bool {
+	for _, x := range values {
+		if !plausible(x) {
 			return false
 		}
 	}
-	return len(all) <= mostSmall
+	return len(values) <= maxListEntries
 }
 
-// Check tells which field of a memory that came from outside can't be.
+// Check validates a state that came from outside the process. The error names the first field that is out of range.
 func (m *LearnedState) Check() error {
-	server := func(s ServerState) bool { return s.Record.Valid() && figures(s.LatencyBins) && s.MinLatency >= 0 }
-	if len(m.Caches) > mostServers {
-		return fmt.Errorf("caches: %d, at most %d", len(m.Caches), mostServers)
+	validServer := func(s ServerState) bool { return s.Record.Valid() && allPlausible(s.LatencyBins) && s.MinLatency >= 0 }
+	if len(m.Caches) > maxServers {
+		return fmt.Errorf("caches: %d entries, limit %d", len(m.Caches), maxServers)
 	}
 	for id, s := range m.Caches {
-		if !server(s) {
-			return fmt.Errorf("caches[%d]: a figure that can't be", id)
+		if !validServer(s) {
+			return fmt.Errorf("caches[%d]: value out of range in record %+v, minimum latency %d or %d latency bins",
+				id, s.Record, s.MinLatency, len(s.LatencyBins))
 		}
 	}
-	for _, part := range []struct {
-		name string
-		fits bool
+	for _, field := range []struct {
+		name  string
+		valid bool
 	}{
-		{"origin", m.Origin.Name == "" || server(m.Origin)},
-		{"shadow", m.Shadow.Name == "" || server(m.Shadow)},
-		{"usual", figures(m.LatencyBins)},
+		{"origin", m.Origin.Name == "" || validServer(m.Origin)},
+		{"shadow", m.Shadow.Name == "" || validServer(m.Shadow)},
+		{"usual", allPlausible(m.LatencyBins)},
 		{"kept", len(m.RecentKeys) <= MaxKeys},
-		{"hot", len(m.HotKeys) <= mostSmall && figure(m.KeyRequests)},
-		{"waits", len(m.ClientTimeouts) <= mostSmall},
-		{"tokens", len(m.Tokens) <= mostSmall},
-		{"kinds", len(m.Kinds) <= mostSmall},
-		{"left", len(m.Departed) <= mostServers},
+		{"hot", len(m.HotKeys) <= maxListEntries && plausible(m.KeyRequests)},
+		{"waits", len(m.ClientTimeouts) <= maxListEntries},
+		{"tokens", len(m.Tokens) <= maxListEntries},
+		{"kinds", len(m.Kinds) <= maxListEntries},
+		{"left", len(m.Departed) <= maxServers},
 	} {
-		if !part.fits {
-			return fmt.Errorf("%s: too many, or a figure that can't be", part.name)
+		if !field.valid {
+			return fmt.Errorf("%s: too many entries, or a value out of range", field.name)
 		}
 	}
 	for i, h := range m.HotKeys {
-		if !figure(h.Count) {
-			return fmt.Errorf("hot[%d]: %v can't be", i, h.Count)
+		if !plausible(h.Count) {
+			return fmt.Errorf("hot[%d]: count %v out of range", i, h.Count)
 		}
 	}
 	for i, w := range m.ClientTimeouts {
 		if w.Timeout < 0 || w.Category < 0 || w.Tenant < 0 {
-			return fmt.Errorf("waits[%d]: below 0", i)
+			return fmt.Errorf("waits[%d]: negative value in %+v", i, w)
 		}
 	}
 	for i, t := range m.Tokens {
 		if math.IsNaN(t) || math.IsInf(t, 0) {
-			return fmt.Errorf("tokens[%d]: %v can't be", i, t)
+			return fmt.Errorf("tokens[%d]: %v is not finite", i, t)
 		}
 	}
 	for i, k := range m.Kinds {
-		if !(k.OctavesSlower >= 0 && k.OctavesSlower <= 1) || !figure(k.Samples) || !figure(k.ReportBaseline) || !(math.Abs(k.MeanLog2) < 1<<10) {
-			return fmt.Errorf("kinds[%d]: a figure that can't be", i)
+		if !(k.OctavesSlower >= 0 && k.OctavesSlower <= 1) || !plausible(k.Samples) || !plausible(k.ReportBaseline) ||
+			!(math.Abs(k.MeanLog2) < 1<<10) {
+			return fmt.Errorf("kinds[%d]: value out of range in %+v", i, k)
 		}
 	}
 	return nil
 }
 
-// DropSettingsDependent leaves out what hangs on the settings that it was learned under: numbers of categories, tenants and kinds.
+// DropSettingsDependent drops what applies only under the settings it was learned with: state by category, tenant or kind
+// number.
 func (m *LearnedState) DropSettingsDependent() { m.ClientTimeouts, m.Tokens, m.Kinds = nil, nil, nil }
 
-// Halve gives a half to a process that shares all servers with this one from now on.
+// Halve halves the records and the tokens, for a process that shares all servers with this one from now on.
 func (m *LearnedState) Halve() {
 	m.Confidence = 1
 	for id, s := range m.Caches {
@@ -146,12 +151,14 @@
 	}
 }
 
-// Decay lets all count for less after a time in which nobody looked: for half after each half-life. Danger: the cold budget
-// goes by what caches have answered of late. That is left out, and what they were sent is left as it was: a cold cache is sent
-// no more than by a process that knows nothing. Keys are known for two turns and the age at most.
-func (m *LearnedState) Decay(age, half, turn int64) {
-	m.Age, m.Confidence = age, math.Exp2(-float64(max(age, 0))/float64(max(half, 1)))
-	fade := func(s *ServerState) {
+// Decay reduces the weight of the state by half for each half-life of its age, time in which nobody updated it. The
+// counts of answered pushes are dropped, since the slow-start budget is computed from recent answers, and those of sent
+// pushes stay: a cold cache then gets no more than from a process that knows nothing. Recent keys are dropped once the
+// age is half of their period, so that they are remembered for at most two periods and the age.
+func (m *LearnedState) Decay(age, halfLife, period int64) {
+	m.Age = age
+	m.Confidence = math.Exp2(-float64(max(age, 0)) / float64(max(halfLife, 1)))
+	decay := func(s *ServerState) {
 		s.Record.Done = evidence.Window{}
 		s.Record.Good, s.Record.Bad = s.Record.Good*m.Confidence, s.Record.Bad*m.Confidence
 		for i := range s.LatencyBins {
@@ -159,11 +166,11 @@
 		}
 	}
 	for id, s := range m.Caches {
-		fade(&s)
+		decay(&s)
 		m.Caches[id] = s
 	}
-	fade(&m.Origin)
-	fade(&m.Shadow)
+	decay(&m.Origin)
+	decay(&m.Shadow)
 	for i := range m.LatencyBins {
 		m.LatencyBins[i] *= m.Confidence
 	}
@@ -177,15 +184,16 @@
 	for i := range m.Kinds {
 		m.Kinds[i].Samples *= m.Confidence
 	}
-	if age >= turn/2 {
+	if age >= period/2 {
 		m.RecentKeys = nil
 	}
 }
 
-// Blend is a figure between what a process begins with and what was learned, nearer to the first the less that counts.
-func (m *LearnedState) Blend(first, learned float64) float64 {
-	if !(first > 0 && learned > 0) {
-		return first
+// Blend returns the geometric interpolation between an initial and a learned value, weighted by Confidence. It returns
+// the initial value unless both are above 0.
+func (m *LearnedState) Blend(initial, learned float64) float64 {
+	if !(initial > 0 && learned > 0) {
+		return initial
 	}
-	return first * math.Pow(learned/first, m.Confidence)
+	return initial * math.Pow(learned/initial, m.Confidence)
 }
