--- a/decide/evidence/evidence_test.go
+++ b/decide/evidence/evidence_test.go
@@ -157,7 +157,7 @@
 	for range 20 {
 		p.ObserveAnswer(4000, 7)
 		p.ObserveLowerBound(4000)
-		p.ObserveLowerBound(9000) // a sick cache beside healthy ones
+		p.ObserveLowerBound(9000) // an overloaded cache beside healthy ones
 	}
 	if p.Excess() > 2000 || p.LastAnswer != 7 {
 		t.Errorf("%+v: some slow answers among fast ones make the path slow", p)
--- a/decide/evidence/path_latency.go
+++ b/decide/evidence/path_latency.go
@@ -2,10 +2,10 @@
 
 import "cmp"
 
-// PathLatency estimates the latency of the network path to a location from the fastest answers that cross it. A sick
-// or crowded server answers some requests quickly, but nothing that crosses a slow path is fast.
+// PathLatency estimates the latency of the network path to a location from the fastest answers that cross it. A
+// failing or overloaded server answers some requests quickly, but nothing that crosses a slow path is fast.
 type PathLatency[T ~int64] struct {
-	recent     T // minimum answer time of late
+	recent     T // recent minimum answer time
 	Baseline   T // minimum answer time over the long term; 0 before the first answer
 	LastAnswer T // clock reading of the last answer
 }
--- a/decide/lifecycle/lifecycle.go
+++ b/decide/lifecycle/lifecycle.go
@@ -15,7 +15,7 @@
 	Starting        State = iota // not listening yet
 	Serving                      // listening and healthy
 	LameDuck                     // listening, but clients are told to use another proxy; may serve again
-	Draining                     // told to stop; finishing open ops
+	Draining                     // stopping; finishing open ops
 	FlushingReplies              // all open ops are answered; their replies are being written
 	Ended                        // nothing is left to do; the process exits
 )
--- a/decide/warm/warm.go
+++ b/decide/warm/warm.go
@@ -151,8 +151,8 @@
 	}
 }
 
-// Decay reduces the weight of the state by half for each half-life of its age, time in which nobody updated it. The
-// counts of answered pushes are dropped, since the slow-start budget is computed from recent answers, and those of sent
+// Decay reduces the weight of the state by half for each half-life of its age, the time since it was last updated.
+// The counts of answered pushes are dropped, since the slow-start budget is computed from recent answers, and those of sent
 // pushes stay: a cold cache then gets no more than from a process that knows nothing. Recent keys are dropped once the
 // age is half of their period, so that they are remembered for at most two periods and the age.
 func (m *LearnedState) Decay(age, halfLife, period int64) {
--- a/decide/warm/warm_test.go
+++ b/decide/warm/warm_test.go
@@ -10,9 +10,17 @@
 
 // exampleState returns a valid state with all fields set that Decay, Halve and Check look at.
 func exampleState() LearnedState {
-	return LearnedState{Caches: map[uint32]ServerState{3: {Name: "c", LatencyBins: []float64{4, 2}, Record: evidence.Record{Sent: evidence.Window{8}, Done: evidence.Window{6},
-		Limit: 4, Good: 10, Bad: 2}}}, LatencyBins: []float64{1}, RecentKeys: []uint64{1}, HotKeys: []HotKey{{1, 2}}, KeyRequests: 9, ClientTimeouts: []ClientTimeout{{Votes: 8}},
-		Tokens: []float64{-4}, Kinds: []MachineKind{{Samples: 8}}}
+	record := evidence.Record{Sent: evidence.Window{8}, Done: evidence.Window{6}, Limit: 4, Good: 10, Bad: 2}
+	return LearnedState{
+		Caches:         map[uint32]ServerState{3: {Name: "c", LatencyBins: []float64{4, 2}, Record: record}},
+		LatencyBins:    []float64{1},
+		RecentKeys:     []uint64{1},
+		HotKeys:        []HotKey{{1, 2}},
+		KeyRequests:    9,
+		ClientTimeouts: []ClientTimeout{{Votes: 8}},
+		Tokens:         []float64{-4},
+		Kinds:          []MachineKind{{Samples: 8}},
+	}
 }
 
 // Guards against old state that counts as much as new, a slow-start budget from old answers, and two processes that
