--- a/internal/front/admission.go
+++ b/internal/front/admission.go
@@ -7,106 +7,114 @@
 )
 
 const (
-	fresh   = 25 * time.Millisecond  // a client that has just connected, or been answered, is about to send
-	patient = 100 * time.Millisecond // for a descriptor to become free
+	// activityGrace protects a connection that was just opened or answered from eviction: its client is about to send.
+	activityGrace = 25 * time.Millisecond
+	// admissionTimeout is how long a new connection waits for a free descriptor.
+	admissionTimeout = 100 * time.Millisecond
+	// admissionPollInterval is the longest time between two attempts to admit a waiting connection.
+	admissionPollInterval = 5 * time.Millisecond
 
-	changeWait = 5 * time.Millisecond // for a connection to end, until the next look
-
-	// Of the connections that clients may have, one part in so many may be held beyond them, to tell their clients that there is no room.
-	overflowPart = 16
-	// overflowWait is how long a newcomer waits for room before it becomes one of those.
+	// overflowDivisor bounds the connections above MaxConns to MaxConns/overflowDivisor. Their requests are refused,
+	// so that their clients learn that there is no room.
+	overflowDivisor = 16
+	// overflowWait is how long a new connection waits for room before it is admitted as one of those.
 	overflowWait = 25 * time.Millisecond
-	// overflowWord is how long it has to say what it wants.
-	overflowWord = 300 * time.Millisecond
+	// overflowCommandTimeout is how long such a connection has to send its first command.
+	overflowCommandTimeout = 300 * time.Millisecond
 )
 
-// admit takes a new connection in, which was not there at a moment. Where there is no room, another makes way at once: whoever waited for that in turn
-// would be served too late, would come again, and find a longer queue. Where none can, the newcomer is told so, and closed unread at worst.
-func (f *Server) admit(nc net.Conn, since time.Time) {
+// admit admits a new connection, on which nothing had arrived at notBefore. Without room, it evicts another connection
+// at once: a queue of waiting clients would serve each too late, and they would reconnect and find a longer queue. If
+// no connection can be evicted, the requests of the new one are refused, or it is closed unread as the last resort.
+func (srv *Server) admit(nc net.Conn, notBefore time.Time) {
 	for began := time.Now(); ; {
 		waited := time.Since(began)
-		c, old := f.enter(nc, since, waited)
-		if old != nil && old.makeWay() {
-			f.evicted.Add(1)
+		c, candidate := srv.register(nc, notBefore, waited)
+		if candidate != nil && candidate.evict() {
+			srv.evicted.Add(1)
 		}
 		if c != nil {
-			go c.read()
-			go c.write()
+			go c.readLoop()
+			go c.writeLoop()
 			return
 		}
-		if waited >= patient {
-			f.crowded.Add(1)
+		if waited >= admissionTimeout {
+			srv.rejectedConns.Add(1)
 			nc.Close()
 			return
 		}
 		select {
-		case <-f.changed:
-		case <-time.After(changeWait):
+		case <-srv.connClosed:
+		case <-time.After(admissionPollInterval):
 		}
 	}
 }
 
-// enter makes a connection of a newcomer if there is room, or beyond it if the newcomer has waited and none makes way. It gives the connection that
-// makes way as well, nil for none.
-func (f *Server) enter(nc net.Conn, since time.Time, waited time.Duration) (c, old *conn) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	most := int(f.MaxConns.Load())
-	room, leaving := len(f.conns) < most, false
-	if len(f.conns) >= most/2 {
-		old, leaving = f.dispensable(time.Now().Add(-fresh), room)
+// register adds a new connection if there is room, or as overflow if it has waited and none is being evicted. It also
+// returns the connection to evict, nil for none.
+func (srv *Server) register(nc net.Conn, notBefore time.Time, waited time.Duration) (c, candidate *conn) {
+	srv.mu.Lock()
+	defer srv.mu.Unlock()
+	maxConns := int(srv.MaxConns.Load())
+	hasRoom, evicting := len(srv.conns) < maxConns, false
+	if len(srv.conns) >= maxConns/2 {
+		candidate, evicting = srv.evictionCandidate(time.Now().Add(-activityGrace), hasRoom)
 	}
-	inVain := waited >= patient || waited >= overflowWait && old == nil && !leaving
-	overflow := !room && inVain && len(f.conns) < most+max(most/overflowPart, 1)
-	if !room && !overflow {
-		return nil, old
+	waitExceeded := waited >= admissionTimeout || waited >= overflowWait && candidate == nil && !evicting
+	overflow := !hasRoom && waitExceeded && len(srv.conns) < maxConns+max(maxConns/overflowDivisor, 1)
+	if !hasRoom && !overflow {
+		return nil, candidate
 	}
-	c = newConn(f, nc, since)
+	c = newConn(srv, nc, notBefore)
 	c.overflow = overflow
-	_, c.place = math.Modf(float64(f.accepted.Load()) * golden)
-	f.conns[c] = struct{}{}
-	return c, old
+	_, c.drainPosition = math.Modf(float64(srv.accepted.Load()) * goldenRatio)
+	srv.conns[c] = struct{}{}
+	return c, candidate
 }
 
-// dispensable finds the connection that makes way; never one on which anything is owed, or stands unread though nothing was ever asked on it. First
-// come those that have never sent a command, the oldest ahead, and those that have had their last answer; then the one idle for longest. Those that
-// have only just come are given a moment to speak, unless they are more than a third: silent ones come by hundreds, good ones among them. While
-// there is room, one makes way only where those that have asked, and idle, are more than half: clients have connections to lose, too, and would
-// hold too many to make new ones. One makes way at a time: leaving tells that one does already.
-func (f *Server) dispensable(before time.Time, room bool) (chosen *conn, leaving bool) {
-	var silent, idle, done *conn
-	unheard, quiet, most := 0, 0, int(f.MaxConns.Load())
-	for c := range f.conns {
+// evictionCandidate selects the connection to evict. It never selects one with pending work, nor one that has sent no
+// command yet but has unread input. The order is: the oldest connection that has never sent a command; one that is
+// half-closed after its last answer; then the longest idle one. Connections active since before are spared, so that new
+// clients get time to send. A silent one among them is selected only if there is no other, or if silent ones exceed a
+// third of the limit: they arrive by hundreds, with good clients among them.
+//
+// While there is room, an idle connection is evicted only if idle ones exceed half of the limit: the number of
+// connections that clients can hold is limited too, and idle ones would leave them none to open. One connection is
+// evicted at a time: evicting reports that an eviction is under way. The server's mutex is held.
+func (srv *Server) evictionCandidate(before time.Time, hasRoom bool) (chosen *conn, evicting bool) {
+	var silent, idle, halfClosed *conn
+	silentCount, idleCount, maxConns := 0, 0, int(srv.MaxConns.Load())
+	for c := range srv.conns {
 		c.mu.Lock()
-		leaving = leaving || c.evicted && c.owes() == owesNothing
+		evicting = evicting || c.evicted && c.workState() == workNone
 		switch {
-		case c.last:
-			if c.used.Before(before) {
-				done = c
+		case c.halfClosed:
+			if c.lastActive.Before(before) {
+				halfClosed = c
 			}
-		case c.ending || c.owes() != owesNothing:
-		case !c.heard:
-			unheard++
-			if (silent == nil || c.born.Before(silent.born)) && !pending(c.nc) {
+		case c.closing || c.workState() != workNone:
+		case !c.commandSeen:
+			silentCount++
+			if (silent == nil || c.createdAt.Before(silent.createdAt)) && !hasUnreadInput(c.nc) {
 				silent = c
 			}
-		case c.used.Before(before):
-			quiet++
-			if idle == nil || c.used.Before(idle.used) {
+		case c.lastActive.Before(before):
+			idleCount++
+			if idle == nil || c.lastActive.Before(idle.lastActive) {
 				idle = c
 			}
 		}
 		c.mu.Unlock()
 	}
 	switch {
-	case leaving || room && quiet < most/2:
-		return nil, leaving
-	case room:
+	case evicting || hasRoom && idleCount < maxConns/2:
+		return nil, evicting
+	case hasRoom:
 		return idle, false
-	case silent != nil && (silent.born.Before(before) || unheard > most/3):
+	case silent != nil && (silent.createdAt.Before(before) || silentCount > maxConns/3):
 		return silent, false
-	case done != nil:
-		return done, false
+	case halfClosed != nil:
+		return halfClosed, false
 	case idle != nil:
 		return idle, false
 	}
--- a/internal/front/closing_test.go
+++ b/internal/front/closing_test.go
@@ -12,18 +12,18 @@
 	"minttray/internal/engine"
 )
 
-// gatedConn is a client's connection that waits behind a read or ahead of a write until it is let go.
+// gatedConn is a client's connection that is held after a read or before a write until its gate opens.
 type gatedConn struct {
 	net.Conn
 	read, write gate
 }
 
-// gate holds a goroutine up once.
+// gate holds one goroutine until it is opened. The zero value holds none.
 type gate struct{ reached, open chan struct{} }
 
 func newGate() gate { return gate{make(chan struct{}), make(chan struct{})} }
 
-func (g gate) pass() {
+func (g gate) wait() {
 	if g.reached == nil {
 		return
 	}
@@ -39,20 +39,22 @@
 func (c *gatedConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if n > 0 {
-		c.read.pass()
+		c.read.wait()
 	}
 	return n, err
 }
 
 func (c *gatedConn) Write(b []byte) (int, error) {
-	c.write.pass()
+	c.write.wait()
 	return c.Conn.Write(b)
 }
 
-// pair makes a connection, has one end taken in by the proxy, and gives its client.
-func pair(t *testing.T, take func(net.Conn)) *client { return pairOn(t, "tcp", "127.0.0.1:0", take) }
+// connPair makes a connection, passes the server's end to admit and returns the client's.
+func connPair(t *testing.T, admit func(net.Conn)) *client {
+	return connPairOn(t, "tcp", "127.0.0.1:0", admit)
+}
 
-func pairOn(t *testing.T, network, addr string, take func(net.Conn)) *client {
+func connPairOn(t *testing.T, network, addr string, admit func(net.Conn)) *client {
 	t.Helper()
 	l, err := net.Listen(network, addr)
 	if err != nil {
@@ -68,95 +70,97 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { theirs.Close(); ours.Close() })
-	theirs.SetDeadline(time.Now().Add(patience))
-	take(ours)
+	theirs.SetDeadline(time.Now().Add(testTimeout))
+	admit(ours)
 	return newClient(t, theirs)
 }
 
-// gated admits a connection with the given gates, and gives its client.
-func gated(t *testing.T, f *Server, read, write gate) *client {
+// admitGated admits a connection with the given gates and returns its client.
+func admitGated(t *testing.T, srv *Server, read, write gate) *client {
 	t.Helper()
-	return pair(t, func(ours net.Conn) { f.admit(&gatedConn{ours, read, write}, time.Now()) })
+	return connPair(t, func(ours net.Conn) { srv.admit(&gatedConn{ours, read, write}, time.Now()) })
 }
 
-// closers are the ways in which the proxy ends a client's connection by itself.
-var closers = map[string]func(f *Server){
-	"to make way": func(f *Server) {
-		f.mu.Lock()
-		chosen, _ := f.dispensable(time.Now().Add(time.Hour), false)
-		f.mu.Unlock()
+// closers are the ways in which the proxy closes a client's connection on its own.
+var closers = map[string]func(srv *Server){
+	"eviction": func(srv *Server) {
+		srv.mu.Lock()
+		chosen, _ := srv.evictionCandidate(time.Now().Add(time.Hour), false)
+		srv.mu.Unlock()
 		if chosen != nil {
-			chosen.makeWay()
+			chosen.evict()
 		}
 	},
-	"as clients are sent away": func(f *Server) { f.ApplyPhase(lifecycle.CloseInformed, false, 0) },
-	"as the process ends":      func(f *Server) { f.ApplyPhase(lifecycle.CloseAll, true, 0) },
-	"as one that nobody uses":  func(f *Server) { f.ApplyPhase(lifecycle.KeepOpen, true, 1) },
+	"lame duck":         func(srv *Server) { srv.ApplyPhase(lifecycle.CloseInformed, false, 0) },
+	"process end":       func(srv *Server) { srv.ApplyPhase(lifecycle.CloseAll, true, 0) },
+	"unused connection": func(srv *Server) { srv.ApplyPhase(lifecycle.KeepOpen, true, 1) },
 }
 
-// Danger: an answer has left the table of open requests, and is not written yet: the connection looks as if nothing was owed on it.
+// Guards against a lost answer: it has been removed from the slots and is not written yet, so the connection looks as if
+// it had no pending work.
 func TestAnAnswerBeingWrittenIsNotLost(t *testing.T) {
 	for name, end := range closers {
 		t.Run(name, func(t *testing.T) {
-			f, e := serve(t, nil)
+			srv, e := startServer(t, nil)
 			write := newGate()
-			c := gated(t, f, gate{}, write)
-			c.send(get("a"))
-			wait(t, e.taken).Reply.Acked([]byte("v"))
-			wait(t, write.reached)
-			end(f)
+			c := admitGated(t, srv, gate{}, write)
+			c.send(getCommand("a"))
+			receive(t, e.submitted).Reply.Acked([]byte("v"))
+			receive(t, write.reached)
+			end(srv)
 			close(write.open)
-			c.want("$1", "v")
+			c.expect("$1", "v")
 		})
 	}
 }
 
-// Danger: a request has been read, and the connection ends before the reader has noted it: it would never be handed in, nor answered.
+// Guards against a lost request: it has been read, and the connection is closed before the reader has recorded it.
 func TestARequestThatHasBeenReadIsAnswered(t *testing.T) {
 	for name, end := range closers {
 		t.Run(name, func(t *testing.T) {
-			f, e := serve(t, nil)
+			srv, e := startServer(t, nil)
 			read := newGate()
-			c := gated(t, f, read, gate{})
-			c.send(get("a"))
-			wait(t, read.reached)
-			end(f)
+			c := admitGated(t, srv, read, gate{})
+			c.send(getCommand("a"))
+			receive(t, read.reached)
+			end(srv)
 			close(read.open)
 			select {
-			case o := <-e.taken:
+			case o := <-e.submitted:
 				o.Reply.Acked([]byte("v"))
-				c.want("$1", "v")
+				c.expect("$1", "v")
 			case <-time.After(time.Second):
-				t.Fatalf("it was not handed in, and its client got %q", c.line())
+				t.Fatalf("the request was not submitted, and its client got %q", c.readLine())
 			}
 		})
 	}
 }
 
-// Danger: a request with which the front itself fails has been read, and its place in the order holds up all others.
+// Guards against answers that are never written: the request that panics in the front end has been read, and its slot
+// holds up all later ones.
 func TestARequestThatPanicsIsAnswered(t *testing.T) {
-	f, e := serve(t, nil)
-	c := dial(t, f)
-	c.send(get("a") + get("panic"))
-	wait(t, e.taken).Reply.Acked([]byte("v"))
-	c.want("$1", "v", "-ERR dead-lettered: it may have run", "EOF")
+	srv, e := startServer(t, nil)
+	c := dial(t, srv)
+	c.send(getCommand("a") + getCommand("panic"))
+	receive(t, e.submitted).Reply.Acked([]byte("v"))
+	c.expect("$1", "v", "-ERR dead-lettered: it may have run", "EOF")
 }
 
-// Danger: a connection ends for its bad commands, and a request that was read with them is dropped.
+// Guards against a lost request: it was read together with the bad commands that its connection is closed for.
 func TestARequestReadWithBadCommandsIsAnswered(t *testing.T) {
-	f, e := serve(t, nil)
-	c := dial(t, f)
-	c.send(strings.Repeat(words("NONSENSE"), mostRefused+5) + get("a") + words("NONSENSE") + get("b"))
-	for range mostRefused {
-		c.want("-ERR unknown command 'NONSENSE'")
+	srv, e := startServer(t, nil)
+	c := dial(t, srv)
+	c.send(strings.Repeat(command("NONSENSE"), maxBadCommands+5) + getCommand("a") + command("NONSENSE") + getCommand("b"))
+	for range maxBadCommands {
+		c.expect("-ERR unknown command 'NONSENSE'")
 	}
-	c.want("-BUSY", "-BUSY", "EOF")
-	if len(e.taken) > 0 {
-		t.Error("a request was handed in on a connection that ends")
+	c.expect("-BUSY", "-BUSY", "EOF")
+	if len(e.submitted) > 0 {
+		t.Error("a request was submitted on a connection that closes")
 	}
 }
 
-// socketError is what a reset leaves at a socket whose other side has ended before.
+// socketError returns the pending error that a reset leaves on a socket whose peer has closed its side before.
 func socketError(t *testing.T, nc net.Conn) (found syscall.Errno) {
 	raw, err := nc.(*net.TCPConn).SyscallConn()
 	if err != nil {
@@ -169,24 +173,24 @@
 	return found
 }
 
-// Danger: what comes behind our end is read and thrown away: a request that was read would be lost. Unread, it makes the close a reset, by which its
-// client knows that it was not taken.
+// Guards against a lost request: input that arrives after the proxy's close must stay unread. It then makes the close a
+// reset, by which the client knows that its request was not handled.
 func TestNothingIsReadBehindTheEnd(t *testing.T) {
-	f, e := serve(t, nil)
-	c := dial(t, f)
-	c.send(get("a"))
-	wait(t, e.taken).Reply.Acked([]byte("v"))
-	c.want("$1", "v")
-	f.ApplyPhase(lifecycle.CloseAll, true, 0)
-	c.want("EOF")
-	c.send(get("late"))
-	until(t, "a reset", func() bool { return socketError(t, c.Conn) == syscall.EPIPE })
-	if len(e.taken) > 0 {
-		t.Error("a request was handed in behind the end")
+	srv, e := startServer(t, nil)
+	c := dial(t, srv)
+	c.send(getCommand("a"))
+	receive(t, e.submitted).Reply.Acked([]byte("v"))
+	c.expect("$1", "v")
+	srv.ApplyPhase(lifecycle.CloseAll, true, 0)
+	c.expect("EOF")
+	c.send(getCommand("late"))
+	waitUntil(t, "a reset", func() bool { return socketError(t, c.Conn) == syscall.EPIPE })
+	if len(e.submitted) > 0 {
+		t.Error("a request was submitted after the close")
 	}
 }
 
-// gatedSocket is a client's connection whose reader waits ahead of its first read, while all else sees the socket.
+// gatedSocket is a client's connection whose reader is held before its first read, while all else uses the socket.
 type gatedSocket struct {
 	*net.TCPConn
 	read gate
@@ -203,56 +207,57 @@
 }
 
 func (r gatedRaw) Read(f func(fd uintptr) bool) error {
-	r.read.pass()
+	r.read.wait()
 	return r.RawConn.Read(f)
 }
 
-// Danger: a new connection is closed before its reader has come to it, with a request that its client has sent: its client can't take that for a
-// crossing between two requests.
+// Guards against a lost request: a new connection is closed before its reader has run, after its client has sent a
+// request. The client cannot take that for a close that crossed its next request.
 func TestARequestUnreadOnANewConnectionIsAnswered(t *testing.T) {
 	for name, end := range closers {
 		t.Run(name, func(t *testing.T) {
-			f, e := serve(t, nil)
+			srv, e := startServer(t, nil)
 			read := newGate()
 			var ours *gatedSocket
-			c := pair(t, func(nc net.Conn) {
+			c := connPair(t, func(nc net.Conn) {
 				ours = &gatedSocket{nc.(*net.TCPConn), read}
-				f.admit(ours, time.Now())
+				srv.admit(ours, time.Now())
 			})
-			wait(t, read.reached)
-			c.send(get("a"))
-			until(t, "it has come", func() bool { return pending(ours.TCPConn) })
-			end(f)
+			receive(t, read.reached)
+			c.send(getCommand("a"))
+			waitUntil(t, "unread input", func() bool { return hasUnreadInput(ours.TCPConn) })
+			end(srv)
 			close(read.open)
-			wait(t, e.taken).Reply.Acked([]byte("v"))
-			c.want("$1", "v")
+			receive(t, e.submitted).Reply.Acked([]byte("v"))
+			c.expect("$1", "v")
 		})
 	}
 }
 
-// Danger: there is no room for a newcomer, and its connection is closed with its request: it is refused, and handed in nowhere.
+// Guards against a request that is dropped for lack of room: the new connection is admitted as overflow, and its request
+// is refused and not submitted.
 func TestANewcomerWithoutRoomIsRefused(t *testing.T) {
-	f, e := serve(t, func(f *Server) { f.MaxConns.Store(2) })
+	srv, e := startServer(t, func(srv *Server) { srv.MaxConns.Store(2) })
 	var busy []*client
 	for n := range 2 {
-		c := dial(t, f)
-		c.send(get(fmt.Sprint("busy", n)))
+		c := dial(t, srv)
+		c.send(getCommand(fmt.Sprint("busy", n)))
 		busy = append(busy, c)
 	}
-	open := []*engine.Op{wait(t, e.taken), wait(t, e.taken)}
-	c := dial(t, f)
-	c.send(get("a") + get("b"))
-	c.want("-BUSY", "-BUSY", "EOF")
-	c = dial(t, f)
-	c.send(words("PING"))
-	c.want("+PONG", "EOF")
-	for _, o := range open { // in the order in which they came, which need not be that of their clients
+	open := []*engine.Op{receive(t, e.submitted), receive(t, e.submitted)}
+	c := dial(t, srv)
+	c.send(getCommand("a") + getCommand("b"))
+	c.expect("-BUSY", "-BUSY", "EOF")
+	c = dial(t, srv)
+	c.send(command("PING"))
+	c.expect("+PONG", "EOF")
+	for _, o := range open { // in order of arrival, which can differ from that of the clients
 		o.Reply.Acked([]byte("v"))
 	}
 	for _, c := range busy {
-		c.want("$1", "v")
+		c.expect("$1", "v")
 	}
-	if len(e.taken) > 0 || f.crowded.Load() > 0 {
-		t.Errorf("%d handed in, %d closed unread", len(e.taken), f.crowded.Load())
+	if len(e.submitted) > 0 || srv.rejectedConns.Load() > 0 {
+		t.Errorf("%d requests submitted, %d connections closed unread", len(e.submitted), srv.rejectedConns.Load())
 	}
 }
--- a/internal/front/command.go
+++ b/internal/front/command.go
@@ -19,23 +19,25 @@
 )
 
 const (
-	longestValue = 64 << 10
-	longestName  = 1 << 10 // key or id
-	longestWait  = time.Hour
+	maxValueLength = 64 << 10 // bytes
+	maxNameLength  = 1 << 10  // bytes of a key or id
+	maxWait        = time.Hour
 )
 
+// errFraming reports that the bounds of commands can no longer be determined.
 var errFraming = errors.New("protocol error")
 
-// A command is an array of bulk strings and nothing else: inline ones are no part of the protocol here.
-var form = resp.Limits{MaxElements: 16, MaxBulkLength: longestValue}
+// commandLimits bounds commands, which are arrays of bulk strings only: inline commands are not supported.
+var commandLimits = resp.Limits{MaxElements: 16, MaxBulkLength: maxValueLength}
 
-// next takes a whole command off b; n is 0 while some of it is missing. An error means that the framing is lost.
-func next(b []byte, args [][]byte) (n int, words [][]byte, err error) {
-	if n, err = form.CheckArray(b); n == 0 || err != nil {
+// nextCommand parses the command at the start of b, which takes n bytes, or 0 while it is incomplete. An error means
+// that the framing is lost.
+func nextCommand(b []byte, args [][]byte) (n int, words [][]byte, err error) {
+	if n, err = commandLimits.CheckArray(b); n == 0 || err != nil {
 		return 0, nil, err
 	}
-	whole, words, kind, rest, err := redcon.ReadNextCommand(b[:n], args)
-	if err == nil && (!whole || kind != redcon.Redis || len(rest) > 0 || len(words) == 0) {
+	complete, words, kind, rest, err := redcon.ReadNextCommand(b[:n], args)
+	if err == nil && (!complete || kind != redcon.Redis || len(rest) > 0 || len(words) == 0) {
 		err = errFraming
 	}
 	if err != nil {
@@ -44,17 +46,18 @@
 	return n, words, nil
 }
 
-// NameTable maps what commands name to the module's numbers.
+// NameTable maps the names in commands to the engine's indices.
 type NameTable struct {
-	categories, tenants map[string]int
-	classes             []*figures.Class // by category's number
+	categories map[string]int
+	tenants    map[string]int
+	classes    []*figures.Class // by category index
 }
 
-// NewNameTable takes the names in the module's order, less those that are no longer asked for.
-func NewNameTable(s settings.Settings, book *figures.Book) NameTable {
+// NewNameTable maps the names of the settings to their indices, except those that have been removed.
+func NewNameTable(s settings.Settings, metrics *figures.Book) NameTable {
 	n := NameTable{categories: map[string]int{}, tenants: map[string]int{}}
 	for i, name := range s.Categories {
-		n.classes = append(n.classes, book.Class(name))
+		n.classes = append(n.classes, metrics.Class(name))
 		if !s.Policy.Categories[i].Dropped {
 			n.categories[name] = i
 		}
@@ -67,19 +70,20 @@
 	return n
 }
 
-// parse makes an op of a command's words, whose last byte came at a moment. The error says what is wrong, for the client.
-func (n NameTable) parse(words [][]byte, write bool, received time.Time) (*engine.Op, error) {
-	want := 4
+// parseRequest makes an op of the words of a command whose last byte was received at received. The error's text is sent
+// to the client.
+func (n NameTable) parseRequest(words [][]byte, write bool, received time.Time) (*engine.Op, error) {
+	wantWords := 4
 	if write {
-		want = 5
+		wantWords = 5
 	}
-	if len(words) != want {
-		return nil, fmt.Errorf("wrong number of arguments: %d words wanted, %d came", want, len(words))
+	if len(words) != wantWords {
+		return nil, fmt.Errorf("wrong number of arguments: %d words wanted, %d came", wantWords, len(words))
 	}
-	o := &engine.Op{ReceivedAt: received, Tenant: engine.NoTenant}
-	o.Request = engine.Request{Key: string(words[1]), ID: string(words[2]), Write: write}
-	for i, name := range []string{o.Request.Key, o.Request.ID} {
-		if !plain(name) {
+	op := &engine.Op{ReceivedAt: received, Tenant: engine.NoTenant}
+	op.Request = engine.Request{Key: string(words[1]), ID: string(words[2]), Write: write}
+	for i, name := range []string{op.Request.Key, op.Request.ID} {
+		if !isPlainText(name) {
 			return nil, fmt.Errorf("%s is empty, too long or not plain text", []string{"key", "id"}[i])
 		}
 	}
@@ -88,15 +92,15 @@
 		return nil, errors.New("line break in the properties")
 	}
 	if write {
-		o.Request.Value = append([]byte(nil), words[4]...)
+		op.Request.Value = append([]byte(nil), words[4]...)
 	}
-	o.Key = hash(o.Request.Key)
-	return o, n.properties(o, list)
+	op.Key = hashKey(op.Request.Key)
+	return op, n.parseProperties(op, list)
 }
 
-// properties reads a request's list of names and values.
-func (n NameTable) properties(o *engine.Op, list string) error {
-	category, wait, tenant, marked := false, false, false, false
+// parseProperties reads a request's comma-separated list of name=value pairs. Unknown names are passed on as they are.
+func (n NameTable) parseProperties(op *engine.Op, list string) error {
+	hasCategory, hasWait, hasTenant, hasRetryMark := false, false, false, false
 	for at := 0; at <= len(list); {
 		end := strings.IndexByte(list[at:], ',')
 		if end < 0 {
@@ -108,55 +112,56 @@
 		var ok bool
 		switch name {
 		case "c":
-			if o.Category, ok = n.categories[value]; !ok || category {
+			if op.Category, ok = n.categories[value]; !ok || hasCategory {
 				return fmt.Errorf("unknown or repeated class %q", value)
 			}
-			category = true
+			hasCategory = true
 		case "t":
 			if len(n.tenants) == 0 {
-				break // the deployment knows none
+				break // no tenants are configured
 			}
-			if o.Tenant, ok = n.tenants[value]; !ok || tenant {
+			if op.Tenant, ok = n.tenants[value]; !ok || hasTenant {
 				return fmt.Errorf("unknown or repeated tenant %q", value)
 			}
-			tenant = true
+			hasTenant = true
 		case "r":
-			if value != "0" && value != "1" || marked {
+			if value != "0" && value != "1" || hasRetryMark {
 				return fmt.Errorf("r=%s is no mark of a retry", value)
 			}
-			o.IsRetry, marked = value == "1", true
+			op.IsRetry, hasRetryMark = value == "1", true
 		case "d":
 			ms, err := strconv.ParseFloat(value, 64)
-			if err != nil || strings.Trim(value, "0123456789.") != "" || wait || !(ms > 0) || ms > float64(longestWait/time.Millisecond) {
+			if err != nil || strings.Trim(value, "0123456789.") != "" || hasWait || !(ms > 0) || ms > float64(maxWait/time.Millisecond) {
 				return fmt.Errorf("d=%s is no waiting time in milliseconds", value)
 			}
-			o.Request.Deadline = deadline.After(o.ReceivedAt, time.Duration(math.Floor(ms*float64(time.Millisecond))))
-			o.Request.Properties = deadline.RemoveDeadline(list, end-len(value), end)
-			wait = true
+			op.Request.Deadline = deadline.After(op.ReceivedAt, time.Duration(math.Floor(ms*float64(time.Millisecond))))
+			op.Request.Properties = deadline.RemoveDeadline(list, end-len(value), end)
+			hasWait = true
 		}
 		at = end + 1
 	}
 	switch {
-	case !category:
+	case !hasCategory:
 		return errors.New("class (c) missing")
-	case !wait:
+	case !hasWait:
 		return errors.New("waiting time (d) missing")
 	}
 	return nil
 }
 
-// plain tells whether a key or id can stand in a path and a header as it is.
-func plain(s string) bool {
+// isPlainText reports whether a key or id can be used unescaped in a path and a header.
+func isPlainText(s string) bool {
 	for i := 0; i < len(s); i++ {
 		if s[i] <= ' ' || s[i] >= 0x7f {
 			return false
 		}
 	}
-	return s != "" && len(s) <= longestName
+	return s != "" && len(s) <= maxNameLength
 }
 
-// hash is a key's number: itself where it is one, else its hash. 0 would mean no key.
-func hash(key string) uint64 {
+// hashKey returns the number of a key: the parsed value of 16 hexadecimal digits, or else a hash. It is never 0, which
+// would mean that there is no key.
+func hashKey(key string) uint64 {
 	if len(key) == 16 {
 		if n, err := strconv.ParseUint(key, 16, 64); err == nil && n != 0 {
 			return n
--- a/internal/front/conn.go
+++ b/internal/front/conn.go
@@ -10,159 +10,171 @@
 )
 
 const (
-	mostWaiting = 256                     // commands of one connection that wait for their answers
-	mostPiled   = 1 << 20                 // bytes of answers that one client hasn't read
-	firstWord   = 2500 * time.Millisecond // for the first word of a command
-	halfCommand = 2500 * time.Millisecond // for the rest of a command, or the next bytes of a long value
-	idleClient  = 2 * time.Second         // without an op: many clients ask once and keep their connection for good
-	mostRefused = 16                      // bad commands of one connection; one that sends nothing else ends
-	slowClient  = 10 * time.Second        // for one write
-	halfAtEnd   = 500 * time.Millisecond  // for the rest of a command that was half read as the connection was to end
-	linger      = 300 * time.Millisecond  // for the client's end, once ours is said
-	unsentEvery = 5 * time.Millisecond    // between two looks whether a client's system has the last answer
+	// maxOutstanding bounds the commands of one connection that wait for their answers.
+	maxOutstanding = 256
+	// maxUnreadAnswers bounds the bytes of answers that one client has not read.
+	maxUnreadAnswers = 1 << 20
+	// firstCommandTimeout is how long a new connection has to send the first bytes of a command.
+	firstCommandTimeout = 2500 * time.Millisecond
+	// partialCommandTimeout is how long the rest of a command, or the next bytes of a long value, may take.
+	partialCommandTimeout = 2500 * time.Millisecond
+	// idleTimeout is how long a connection stays open without a request: many clients send one request and keep the
+	// connection.
+	idleTimeout = 2 * time.Second
+	// maxBadCommands is the number of bad commands after which a connection is closed.
+	maxBadCommands = 16
+	// writeTimeout bounds one write to a client.
+	writeTimeout = 10 * time.Second
+	// closingReadTimeout is how long the rest of a partly read command may take on a connection that closes.
+	closingReadTimeout = 500 * time.Millisecond
+	// lingerTimeout is how long the client's end of stream is awaited after the proxy has closed its sending side.
+	lingerTimeout = 300 * time.Millisecond
+	// unsentPollInterval is the time between two checks whether the client's system has acknowledged the last answer.
+	unsentPollInterval = 5 * time.Millisecond
 )
 
-// conn is one client's connection. One goroutine reads commands, one writes answers in the commands' order.
+// conn is one client's connection. One goroutine reads commands, another writes answers in the commands' order.
 type conn struct {
-	front *Server
-	nc    net.Conn
-	born  time.Time
-	place float64 // 0 to 1: when it ends among others that are not used
-
-	overflow bool // there is no room for it: what is asked on it is refused
-
-	// The reader's.
-	source  *source
-	buf     buffer.Buffer
-	size    int       // of buf, as far as the front's sum knows it
-	began   time.Time // when the half command in buf began to come
-	refused int
-	handing *slot // whose op is being handed in
-
-	mu        sync.Mutex
-	slots     []*slot // by command; not yet written
-	piled     int     // bytes of answers not yet written
-	used      time.Time
-	room      sync.Cond // the reader waits for it while too much is piled up
-	wake      chan struct{}
-	heard     bool         // a whole command has come
-	half      bool         // part of a command has been read
-	ending    bool         // closed as soon as all that was read is answered
-	grace     bool         // the reader waits, once, for the rest of a half command
-	body      *engine.Body // that is being passed on
-	graceEnds time.Time
-	last      bool // all is answered and our side is closed: only the client's end is waited for
-	unread    bool // the reader has stopped: no further command is taken
-	writing   bool // answers that have left slots are being written
-	evicted   bool // it ends to make way for another
-	looked    bool // the reader has looked once more, as the connection is to end, for what had come unread
-	ended     bool
-
-	stopped chan struct{} // closed once the reader is done with the connection
+	server        *Server
+	nc            net.Conn
+	createdAt     time.Time
+	drainPosition float64 // 0 to 1: the fraction of unused connections at which this one is closed
+
+	overflow bool // admitted above the limit: its requests are refused
+
+	// Owned by the reader.
+	source        *arrivalReader
+	buf           buffer.Buffer
+	accountedSize int       // bytes of buf that are included in server.bufferedBytes
+	partialSince  time.Time // when the partial command in buf began to arrive
+	badCommands   int
+	submitting    *slot // whose op is being submitted
+
+	mu             sync.Mutex
+	slots          []*slot // in command order; not yet written
+	pendingBytes   int     // of answers not yet written
+	lastActive     time.Time
+	spaceFreed     sync.Cond // the reader waits for it while too much is outstanding
+	wake           chan struct{}
+	commandSeen    bool         // a complete command has been read
+	partial        bool         // part of a command has been read
+	closing        bool         // closes as soon as everything read is answered
+	graceUsed      bool         // the reader waits, once, for the rest of a partial command
+	streaming      *engine.Body // the long value being copied to the client
+	graceDeadline  time.Time
+	halfClosed     bool // all is answered and the proxy's sending side is closed; the client's end of stream is awaited
+	readStopped    bool // no further command is read
+	writing        bool // answers removed from slots are being written
+	evicted        bool // closes to make room for another connection
+	inputRechecked bool // the closing reader has checked once for a first command that arrived unread
+	closed         bool
+
+	readerDone chan struct{} // closed once the reader has finished with the connection
 }
 
-func (c *conn) signal() {
+func (c *conn) wakeWriter() {
 	select {
 	case c.wake <- struct{}{}:
 	default:
 	}
 }
 
-// newConn makes a connection that was not there at a moment.
-func newConn(f *Server, nc net.Conn, since time.Time) *conn {
-	c := &conn{front: f, nc: nc, source: newSource(nc, since, f.Pulse), wake: make(chan struct{}, 1), stopped: make(chan struct{}), born: time.Now()}
-	c.used = c.born
-	c.room.L = &c.mu
+// newConn returns a connection on which nothing had arrived at notBefore.
+func newConn(srv *Server, nc net.Conn, notBefore time.Time) *conn {
+	c := &conn{server: srv, nc: nc, source: newArrivalReader(nc, notBefore, srv.Pulse), wake: make(chan struct{}, 1), readerDone: make(chan struct{}), createdAt: time.Now()}
+	c.lastActive = c.createdAt
+	c.spaceFreed.L = &c.mu
 	return c
 }
 
-// finish lets the connection end once all that was read is answered. The reader stops between commands.
-func (c *conn) finish() {
+// drain closes the connection once everything read is answered. The reader stops between commands.
+func (c *conn) drain() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.endReading()
+	c.beginClose()
 }
 
-// endReading stops the reader between commands; the mutex is held.
-func (c *conn) endReading() {
-	if !c.ending {
-		c.ending = true
-		c.nc.SetReadDeadline(passed)
+// beginClose stops the reader between commands. The mutex is held.
+func (c *conn) beginClose() {
+	if !c.closing {
+		c.closing = true
+		c.nc.SetReadDeadline(pastDeadline)
 	}
 }
 
-// unused tells whether nothing is on it, and its client has had the time to ask. One that asks again and again ends behind
-// an answer.
-func (c *conn) unused() bool {
+// isUnused reports whether no work is pending and the client has had time to send a request. A client that sends
+// requests continuously is closed after an answer instead.
+func (c *conn) isUnused() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.owes() == owesNothing && time.Since(c.used) > fresh && time.Since(c.born) > newcomer
+	return c.workState() == workNone && time.Since(c.lastActive) > activityGrace && time.Since(c.createdAt) > firstCommandGrace
 }
 
-// old tells whether a client has asked, or has had the time to since it came.
-func (c *conn) old(born time.Time) bool {
+// hadTimeToAsk reports whether the client has sent a command, or connected before createdBefore.
+func (c *conn) hadTimeToAsk(createdBefore time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.heard || c.born.Before(born)
+	return c.commandSeen || c.createdAt.Before(createdBefore)
 }
 
-// bye ends a connection on which nothing is owed and nothing is read any more. Closing with unread input would reset it, and the reset could
-// overtake the last answer: so our side ends first, and the client's end is waited for. Danger: nothing that comes meanwhile is taken off the
-// connection. A request that was read would be lost by the close; one that was not, its client sends again.
-func (c *conn) bye() {
-	if half, ok := c.nc.(interface{ CloseWrite() error }); ok && half.CloseWrite() == nil {
-		c.nc.SetReadDeadline(passed)
-		<-c.stopped // from here on this goroutine waits on it
-		late := time.Now().Add(linger)
+// closeGracefully closes a connection without pending work whose reader has stopped. Closing with unread input resets
+// the connection, and the reset could overtake the last answer: so the sending side is closed first, and the client's
+// end of stream is awaited. Input that arrives meanwhile stays unread: a request that was read would be lost by the
+// close, while a client sends again one that was not.
+func (c *conn) closeGracefully() {
+	if writeCloser, ok := c.nc.(interface{ CloseWrite() error }); ok && writeCloser.CloseWrite() == nil {
+		c.nc.SetReadDeadline(pastDeadline)
+		<-c.readerDone // from here on only this goroutine waits on the connection
+		lingerDeadline := time.Now().Add(lingerTimeout)
 		c.mu.Lock()
-		c.last = true
-		if c.nc.SetReadDeadline(late); c.evicted {
-			c.nc.SetReadDeadline(passed)
+		c.halfClosed = true
+		if c.nc.SetReadDeadline(lingerDeadline); c.evicted {
+			c.nc.SetReadDeadline(pastDeadline)
 		}
 		c.mu.Unlock()
-		for away(c.nc) != nil && unsent(c.nc) && time.Now().Before(late) {
-			c.nc.SetReadDeadline(time.Now().Add(unsentEvery))
+		for waitRemoteClose(c.nc) != nil && hasUnackedOutput(c.nc) && time.Now().Before(lingerDeadline) {
+			c.nc.SetReadDeadline(time.Now().Add(unsentPollInterval))
 		}
 	}
-	c.drop(allAnswered)
+	c.abort(allAnswered)
 }
 
-// drop closes the connection at once. Ops that are still open have lost their client.
-func (c *conn) drop(why closeReason) {
+// abort closes the connection at once and abandons its open requests.
+func (c *conn) abort(reason closeReason) {
 	c.mu.Lock()
-	c.close(why)
+	c.abortAndUnlock(reason)
 }
 
-// close is drop with the mutex held; it lets go of that.
-func (c *conn) close(why closeReason) {
-	if c.ended {
+// abortAndUnlock is abort with the mutex held; it releases the mutex.
+func (c *conn) abortAndUnlock(reason closeReason) {
+	if c.closed {
 		c.mu.Unlock()
 		return
 	}
-	c.ended = true
+	c.closed = true
 	for _, s := range c.slots {
 		if s.op != nil {
-			c.front.lost(s.op, s.stands(), why)
+			c.server.logUnanswered(s.op, s.workState(), reason)
 		}
 	}
-	c.front.piled.Add(-int64(c.piled))
-	var left []*engine.Op
+	c.server.pendingBytes.Add(-int64(c.pendingBytes))
+	var abandoned []*engine.Op
 	for _, s := range c.slots {
 		if s.op != nil && s.answer == nil {
-			left = append(left, s.op)
+			abandoned = append(abandoned, s.op)
 		}
-		s.let()
-		s.over(c.front, false)
+		s.closeBody()
+		s.recordOutcome(c.server, false)
 	}
-	if c.body != nil {
-		c.body.Close() // the server's connection must not wait for a client that has gone
+	if c.streaming != nil {
+		c.streaming.Close() // the cache's connection must not wait for a client that is gone
 	}
-	c.room.Broadcast()
+	c.spaceFreed.Broadcast()
 	c.mu.Unlock()
 	c.nc.Close()
-	c.signal()
-	c.front.remove(c)
-	for _, op := range left {
-		c.front.Engine.Abandon(op)
+	c.wakeWriter()
+	c.server.removeConn(c)
+	for _, op := range abandoned {
+		c.server.Engine.Abandon(op)
 	}
 }
--- a/internal/front/listen.go
+++ b/internal/front/listen.go
@@ -12,21 +12,26 @@
 	"golang.org/x/sys/unix"
 )
 
-const inUse = 5 * time.Second // for an address to become free
+const (
+	// addressInUseTimeout is how long listen waits for an address to become free.
+	addressInUseTimeout = 5 * time.Second
+	// addressInUseRetryInterval is the time between two attempts to open an address.
+	addressInUseRetryInterval = 20 * time.Millisecond
+)
 
-// listen opens an address. Shared: another process may listen there too. Where the system refuses that, it is opened as
-// ever. If the proxy that was here before is still ending, it waits for a while.
+// listen opens an address. If shared, another process may listen there too; a system that refuses that gets an
+// ordinary listener. If the address is in use, as while the previous proxy still ends, it retries for a while.
 func listen(addr string, shared bool) (*net.TCPListener, error) {
 	config := net.ListenConfig{}
-	config.SetMultipathTCP(false) // no client speaks it here, and its sockets take no filter
+	config.SetMultipathTCP(false) // no client uses it, and its sockets accept no filter
 	if shared {
 		config.Control = func(_, _ string, c syscall.RawConn) error {
 			return c.Control(func(fd uintptr) { unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1) })
 		}
 	}
 	l, err := config.Listen(context.Background(), "tcp", addr)
-	for late := time.Now().Add(inUse); errors.Is(err, syscall.EADDRINUSE) && time.Now().Before(late); {
-		time.Sleep(20 * time.Millisecond)
+	for giveUpAt := time.Now().Add(addressInUseTimeout); errors.Is(err, syscall.EADDRINUSE) && time.Now().Before(giveUpAt); {
+		time.Sleep(addressInUseRetryInterval)
 		l, err = config.Listen(context.Background(), "tcp", addr)
 	}
 	if err != nil {
@@ -35,63 +40,64 @@
 	return l.(*net.TCPListener), nil
 }
 
-// queued tells whether a connection waits to be accepted, and notes when none did.
-func (f *Server) queued() bool {
+// backlogPending reports whether a connection waits to be accepted, and records the time when none does.
+func (srv *Server) backlogPending() bool {
 	before := time.Now()
-	raw, err := f.listener.SyscallConn()
+	raw, err := srv.listener.SyscallConn()
 	if err != nil {
 		return true
 	}
-	some := true
+	pending := true
 	raw.Control(func(fd uintptr) {
-		p := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}
-		n, err := unix.Poll(p, 0)
-		some = err != nil || n > 0
+		poll := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}
+		n, err := unix.Poll(poll, 0)
+		pending = err != nil || n > 0
 	})
-	if !some {
-		f.vacant = before
+	if !pending {
+		srv.backlogEmptyAt = before
 	}
-	return some
+	return pending
 }
 
-// since is a moment at which a connection that has just been accepted was not there; queued: it waited already when accepting began.
-func (f *Server) since(queued bool) time.Time {
-	if queued {
-		return f.vacant
+// arrivalBound returns a time at which a connection that has just been accepted had not arrived. backlogged tells that
+// a connection already waited when the accept began.
+func (srv *Server) arrivalBound(backlogged bool) time.Time {
+	if backlogged {
+		return srv.backlogEmptyAt
 	}
-	return later(f.vacant, f.Pulse.EarliestArrival(time.Now()))
+	return laterOf(srv.backlogEmptyAt, srv.Pulse.EarliestArrival(time.Now()))
 }
 
-// rest takes what stands in a listener's queue, without waiting.
-func rest(l *net.TCPListener) (all []*net.TCPConn) {
+// acceptBacklog accepts the connections in a listener's queue without blocking.
+func acceptBacklog(l *net.TCPListener) (accepted []*net.TCPConn) {
 	raw, err := l.SyscallConn()
 	if err != nil {
 		return nil
 	}
 	raw.Control(func(fd uintptr) {
 		for {
-			n, _, err := syscall.Accept4(int(fd), syscall.SOCK_NONBLOCK|syscall.SOCK_CLOEXEC)
+			connFD, _, err := syscall.Accept4(int(fd), syscall.SOCK_NONBLOCK|syscall.SOCK_CLOEXEC)
 			if errors.Is(err, syscall.EINTR) || errors.Is(err, syscall.ECONNABORTED) {
 				continue
 			}
 			if err != nil {
 				return
 			}
-			f := os.NewFile(uintptr(n), "client")
-			c, err := net.FileConn(f)
-			f.Close()
+			file := os.NewFile(uintptr(connFD), "client")
+			c, err := net.FileConn(file)
+			file.Close()
 			if tcp, ok := c.(*net.TCPConn); err == nil && ok {
-				all = append(all, tcp)
+				accepted = append(accepted, tcp)
 			}
 		}
 	})
-	return all
+	return accepted
 }
 
-// steer gives each new connection of a shared address to the second process that listens there, while there are two.
-// Danger: connections that still stand in the queue of a socket that closes are reset. With one socket left the index is
-// out of range, and the kernel goes by its hash as ever.
-func steer(l *net.TCPListener) error {
+// steerToNewest directs each new connection of a shared address to the second process that listens there, while there
+// are two: connections in the queue of a socket that closes are reset. When one socket remains, the index is out of
+// range and the kernel selects by its hash as usual.
+func steerToNewest(l *net.TCPListener) error {
 	program, err := bpf.Assemble([]bpf.Instruction{bpf.RetConstant{Val: 1}})
 	if err != nil {
 		return err
@@ -104,10 +110,10 @@
 	if err != nil {
 		return err
 	}
-	var refused error
+	var optionErr error
 	err = raw.Control(func(fd uintptr) {
-		refused = unix.SetsockoptSockFprog(int(fd), unix.SOL_SOCKET, unix.SO_ATTACH_REUSEPORT_CBPF,
+		optionErr = unix.SetsockoptSockFprog(int(fd), unix.SOL_SOCKET, unix.SO_ATTACH_REUSEPORT_CBPF,
 			&unix.SockFprog{Len: uint16(len(filter)), Filter: &filter[0]})
 	})
-	return errors.Join(err, refused)
+	return errors.Join(err, optionErr)
 }
--- a/internal/front/listen_test.go
+++ b/internal/front/listen_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// Danger: connections that stand in the queue of a process that ends are reset. With two at an address, new ones go to the
-// newer, and what the older has in its queue can be taken without waiting.
+// Guards against resets of connections in the accept queue of a process that ends: with two listeners on an address, new
+// connections go to the newer one, and the queue of the older one can be accepted without blocking.
 func TestTwoListenAtOneAddress(t *testing.T) {
 	old, err := listen("127.0.0.1:0", true)
 	if err != nil {
@@ -23,8 +23,8 @@
 			t.Cleanup(func() { c.Close() })
 		}
 	}
-	if err := steer(old); err != nil {
-		t.Skipf("filters are refused here: %v", err)
+	if err := steerToNewest(old); err != nil {
+		t.Skipf("socket filters are not permitted: %v", err)
 	}
 	dial(5)
 	next, err := listen(addr, true)
@@ -32,35 +32,35 @@
 		t.Fatal(err)
 	}
 	defer next.Close()
-	if err := steer(next); err != nil {
+	if err := steerToNewest(next); err != nil {
 		t.Fatal(err)
 	}
 	dial(40)
 	count := func(l *net.TCPListener) int {
-		all := rest(l)
-		for _, c := range all {
+		accepted := acceptBacklog(l)
+		for _, c := range accepted {
 			c.Close()
 		}
-		return len(all)
+		return len(accepted)
 	}
-	if a, b := count(old), count(next); a != 5 || b != 40 {
-		t.Errorf("%d to the old one, %d to the new", a, b)
+	if oldCount, newCount := count(old), count(next); oldCount != 5 || newCount != 40 {
+		t.Errorf("%d connections to the old listener, %d to the new one", oldCount, newCount)
 	}
 	old.Close()
-	dial(7) // one is left: as ever
-	if b := count(next); b != 7 {
-		t.Errorf("%d of 7 came", b)
+	dial(7) // one listener remains and gets all connections
+	if accepted := count(next); accepted != 7 {
+		t.Errorf("%d of 7 connections arrived", accepted)
 	}
 	third, err := listen(addr, true)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer third.Close()
-	if err := steer(third); err != nil {
+	if err := steerToNewest(third); err != nil {
 		t.Fatal(err)
 	}
 	dial(20)
-	if a, b := count(next), count(third); a != 0 || b != 20 {
-		t.Errorf("a second upgrade: %d to the old one, %d to the new", a, b)
+	if oldCount, newCount := count(next), count(third); oldCount != 0 || newCount != 20 {
+		t.Errorf("second upgrade: %d connections to the old listener, %d to the new one", oldCount, newCount)
 	}
 }
--- a/internal/front/reader.go
+++ b/internal/front/reader.go
@@ -15,135 +15,140 @@
 	"minttray/internal/resp"
 )
 
-// read takes commands until the client goes away or the framing is lost. It goes on while ops are open, so that
-// the engine hears at once of a client that has left.
-func (c *conn) read() {
-	defer close(c.stopped)
-	defer c.attend(func() bool { return !c.owing() }, func() {}) // what is still open may lose its client
+// readLoop reads commands until the client leaves or the framing is lost. While requests are open it keeps waiting on
+// the connection, so that the engine learns at once of a client that has left.
+func (c *conn) readLoop() {
+	defer close(c.readerDone)
+	defer c.waitPeerClosed(func() bool { return !c.hasOpenRequest() }, func() {}) // open requests may still lose their client
 	defer func() {
 		if fault := recover(); fault != nil {
-			c.front.panicked(c, fault)
-			c.answerHanded()
-			c.stop() // what was taken still gets its answer
+			c.server.logPanic(c, fault)
+			c.answerSubmitting()
+			c.stopReading() // commands read so far are still answered
 		}
 	}()
-	defer func() { c.front.buffered.Add(-int64(c.size)) }()
+	defer func() { c.server.bufferedBytes.Add(-int64(c.accountedSize)) }()
 	args := make([][]byte, 0, 8)
 	for {
-		if !c.goOn() {
+		if !c.prepareRead() {
 			return
 		}
 		err := c.buf.Fill(c.source)
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			if !c.late() {
+			if !c.handleReadTimeout() {
 				return
 			}
 			continue
 		}
 		if err == nil {
-			err = c.account()
+			err = c.accountBuffer()
 		}
-		if errors.Is(err, buffer.ErrFull) || errors.Is(err, errMemory) {
-			c.end(&c.front.malformed, err)
+		if errors.Is(err, buffer.ErrFull) || errors.Is(err, errBufferMemory) {
+			c.rejectAndStop(&c.server.malformed, err)
 			return
 		}
-		if err != nil || !c.got() {
-			c.drop(clientGone)
+		if err != nil || !c.markPartial() {
+			c.abort(clientGone)
 			return
 		}
-		now, received := time.Now(), c.source.came
+		now, received := time.Now(), c.source.receivedAfter
 		for {
-			n, words, err := next(c.buf.Bytes(), args)
-			var long *resp.BulkTooLongError
-			if errors.As(err, &long) && long.Index == 4 && long.ArrayLength == 5 && long.Length > 0 && long.Length <= engine.MaxValueBytes {
-				if !c.long(long) {
+			n, words, err := nextCommand(c.buf.Bytes(), args)
+			var tooLong *resp.BulkTooLongError
+			if errors.As(err, &tooLong) && tooLong.Index == 4 && tooLong.ArrayLength == 5 && tooLong.Length > 0 && tooLong.Length <= engine.MaxValueBytes {
+				if !c.handleLongSet(tooLong) {
 					return
 				}
-				now, received = time.Now(), c.source.came
+				now, received = time.Now(), c.source.receivedAfter
 				continue
 			}
 			if err != nil {
-				// Nothing that follows can be told apart any more: what was taken is answered, then it ends.
-				c.end(&c.front.malformed, err)
+				// The bounds of later commands are unknown: earlier ones are answered, then the connection is closed.
+				c.rejectAndStop(&c.server.malformed, err)
 				return
 			}
 			if n == 0 {
 				break
 			}
-			if !c.command(words, nil, received, nil) {
+			if !c.handleCommand(words, nil, received, nil) {
 				return
 			}
 			c.buf.Discard(n)
-			c.began = time.Time{}
+			c.partialSince = time.Time{}
 		}
-		if c.refused >= mostRefused {
-			c.front.hopeless.Add(1)
-			c.stop()
+		if c.badCommands >= maxBadCommands {
+			c.server.tooManyErrors.Add(1)
+			c.stopReading()
 			return
 		}
-		if c.overflow && c.heard {
-			c.front.overflowed.Add(1)
-			c.stop()
+		if c.overflow && c.commandSeen {
+			c.server.overflowRefused.Add(1)
+			c.stopReading()
 			return
 		}
 		if len(c.buf.Bytes()) == 0 {
-			c.began = time.Time{}
-		} else if c.began.IsZero() {
-			c.began = now
+			c.partialSince = time.Time{}
+		} else if c.partialSince.IsZero() {
+			c.partialSince = now
 		}
 	}
 }
 
+// maxCommandName bounds the bytes of a command's name that are compared and repeated in errors.
+const maxCommandName = 32
+
 var (
-	errMemory = errors.New("too much half read from all clients")
-	errHalf   = errors.New("the rest of the command did not come")
+	errBufferMemory   = errors.New("too much half read from all clients")
+	errPartialCommand = errors.New("the rest of the command did not come")
 )
 
-// account keeps the sum of all clients' buffers within its bound: each may grow to hold the longest command, but not
-// all together.
-func (c *conn) account() error {
-	grown := c.buf.Size() - c.size
-	c.size += grown
-	if sum := c.front.buffered.Add(int64(grown)); grown > 0 && sum > c.front.MaxPendingBytes {
-		return errMemory
+// accountBuffer adds the buffer's growth to the sum of all clients' buffers, and returns an error above its bound: each
+// buffer may grow to hold the longest command, but not all of them together.
+func (c *conn) accountBuffer() error {
+	grown := c.buf.Size() - c.accountedSize
+	c.accountedSize += grown
+	if sum := c.server.bufferedBytes.Add(int64(grown)); grown > 0 && sum > c.server.MaxPendingBytes {
+		return errBufferMemory
 	}
 	return nil
 }
 
-// got notes that something has been read which has no place yet; false: the connection has ended meanwhile. Danger: a
-// connection that made way just then would lose a command that it has read, and may have handed in.
-func (c *conn) got() bool {
+// markPartial records that input has been read which has no slot yet, and returns false if the connection has been
+// closed meanwhile. Without it, a connection evicted at that moment would lose a command that it has read and may have
+// submitted.
+func (c *conn) markPartial() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.half = true
-	return !c.ended
+	c.partial = true
+	return !c.closed
 }
 
-// late is called when the reader's time ran out; it tells whether to read on.
-func (c *conn) late() bool {
+// handleReadTimeout handles an expired read deadline and reports whether to read on.
+func (c *conn) handleReadTimeout() bool {
 	c.mu.Lock()
-	ending, idle := c.ending, c.owes() == owesNothing && time.Since(c.used) >= idleClient
-	half, heard := c.half, c.heard
+	closing, idle := c.closing, c.workState() == workNone && time.Since(c.lastActive) >= idleTimeout
+	partial, commandSeen := c.partial, c.commandSeen
 	c.mu.Unlock()
 	switch {
-	case ending:
-	case half:
-		c.end(&c.front.halves, errHalf)
+	case closing:
+	case partial:
+		c.rejectAndStop(&c.server.partialTimeouts, errPartialCommand)
 		return false
-	case !heard:
-		c.front.silent.Add(1)
-		c.drop(neverAsked)
+	case !commandSeen:
+		c.server.silentTimeouts.Add(1)
+		c.abort(noCommand)
 		return false
 	case idle:
-		c.front.idle.Add(1)
-		c.finish()
+		c.server.idleTimeouts.Add(1)
+		c.drain()
 	}
 	return true
 }
 
-// answerHanded answers the request that was being handed in as its reader panicked: whether the engine has it is not known.
-func (c *conn) answerHanded() {
-	if s := c.handing; s != nil {
+// answerSubmitting answers the request that was being submitted when the reader panicked: whether the engine has taken
+// it is unknown.
+func (c *conn) answerSubmitting() {
+	if s := c.submitting; s != nil {
 		c.mu.Lock()
 		s.op = nil
 		c.mu.Unlock()
@@ -151,59 +156,62 @@
 	}
 }
 
-// end answers with an error, and ends the connection once what came before it is answered.
-func (c *conn) end(reason *atomic.Int64, err error) {
-	c.refuse(reason, err)
-	c.stop()
+// rejectAndStop replies with an error and closes the connection once earlier commands are answered.
+func (c *conn) rejectAndStop(counter *atomic.Int64, err error) {
+	c.replyError(counter, err)
+	c.stopReading()
 }
 
-// goOn tells the reader whether to read on, and sets how long.
-func (c *conn) goOn() bool {
+// prepareRead reports whether to read on, and sets the read deadline.
+func (c *conn) prepareRead() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.half = len(c.buf.Bytes()) > 0
-	until := time.Now().Add(idleClient)
+	c.partial = len(c.buf.Bytes()) > 0
+	deadline := time.Now().Add(idleTimeout)
 	switch {
-	case c.ending && !c.half && !c.heard && !c.looked && pending(c.nc):
-		// Danger: nothing was ever read on it, so its client can't take what it has sent for a crossing between two requests.
-		c.looked = true
-		until = time.Now().Add(fresh)
-	case c.ending && (!c.half || c.grace):
-		c.stopReading() // of half a command the rest has not come: it is no request
+	case c.closing && !c.partial && !c.commandSeen && !c.inputRechecked && hasUnreadInput(c.nc):
+		// No command was ever read, so the client cannot take the close for one that crossed its next request.
+		c.inputRechecked = true
+		deadline = time.Now().Add(activityGrace)
+	case c.closing && (!c.partial || c.graceUsed):
+		c.markReadStopped() // a partial command whose rest has not arrived is no request
 		return false
-	case c.ending:
-		// The rest may already stand in the kernel's buffer, and the op is then taken.
-		c.grace = true
-		until = time.Now().Add(halfAtEnd)
-	case c.half:
-		until = c.began.Add(halfCommand)
-	case !c.heard && c.overflow:
-		until = c.born.Add(overflowWord)
-	case !c.heard:
-		until = c.born.Add(firstWord)
+	case c.closing:
+		// The rest may already be in the kernel's buffer; the command is then handled.
+		c.graceUsed = true
+		deadline = time.Now().Add(closingReadTimeout)
+	case c.partial:
+		deadline = c.partialSince.Add(partialCommandTimeout)
+	case !c.commandSeen && c.overflow:
+		deadline = c.createdAt.Add(overflowCommandTimeout)
+	case !c.commandSeen:
+		deadline = c.createdAt.Add(firstCommandTimeout)
 	case len(c.slots) == 0:
-		until = c.used.Add(idleClient)
+		deadline = c.lastActive.Add(idleTimeout)
 	}
-	c.nc.SetReadDeadline(until)
+	c.nc.SetReadDeadline(deadline)
 	return true
 }
 
-// stop ends reading for good; the reader calls it.
-func (c *conn) stop() {
+// stopReading ends reading for good. Only the reader calls it.
+func (c *conn) stopReading() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.ending = true
-	c.stopReading()
+	c.closing = true
+	c.markReadStopped()
 }
 
-func (c *conn) refuse(reason *atomic.Int64, err error) {
-	reason.Add(1)
-	c.reserve(&slot{c: c, answer: errorLine(err)})
+// replyError counts an error and queues it as the command's answer.
+func (c *conn) replyError(counter *atomic.Int64, err error) {
+	counter.Add(1)
+	c.reserve(&slot{conn: c, answer: errorLine(err)})
 }
 
-func errorLine(err error) []byte { return redcon.AppendError(nil, "ERR "+clean(err.Error())) }
+// errorLine formats an error as a RESP error line.
+func errorLine(err error) []byte { return redcon.AppendError(nil, "ERR "+sanitize(err.Error())) }
 
-func clean(s string) string {
+// sanitize replaces control characters and invalid UTF-8, which could break the line.
+func sanitize(s string) string {
 	return strings.Map(func(r rune) rune {
 		if r < ' ' || r == '\ufffd' {
 			return '?'
@@ -212,110 +220,112 @@
 	}, s)
 }
 
-// bad refuses a command whose end is known, so that the connection can go on, unless too many were bad.
-func (c *conn) bad(reason *atomic.Int64, err error) (goOn bool) {
-	c.refuse(reason, err)
-	c.refused++
+// rejectCommand replies with an error to a command whose bounds are known, so that the connection can go on.
+func (c *conn) rejectCommand(counter *atomic.Int64, err error) (readOn bool) {
+	c.replyError(counter, err)
+	c.badCommands++
 	return true
 }
 
-// command takes one command, whose last byte came after the moment received, a long value's parts beside it; false means that nothing more is read from the connection. over
-// is called once nobody needs the parts any more.
-func (c *conn) command(words, parts [][]byte, received time.Time, over func()) bool {
-	handed := false
+// handleCommand handles one command. parts holds a long value; received is the lower bound of the arrival of the last
+// byte. release, if not nil, is called once nobody needs the parts any more. It reports whether to read on.
+func (c *conn) handleCommand(words, parts [][]byte, received time.Time, release func()) bool {
+	submitted := false
 	defer func() {
-		if over != nil && !handed {
-			over()
+		if release != nil && !submitted {
+			release()
 		}
 	}()
-	name := strings.ToUpper(string(words[0][:min(len(words[0]), 32)]))
-	if c.refused >= mostRefused || c.overflow && name != "PING" {
-		return c.refuseRest(name)
+	name := strings.ToUpper(string(words[0][:min(len(words[0]), maxCommandName)]))
+	if c.badCommands >= maxBadCommands || c.overflow && name != "PING" {
+		return c.refuseBusy(name)
 	}
 	switch name {
 	case "CACHE.GET", "CACHE.SET":
-		names := c.front.names.Load()
-		op, err := names.parse(words, name == "CACHE.SET", received)
+		names := c.server.names.Load()
+		op, err := names.parseRequest(words, name == "CACHE.SET", received)
 		if err != nil {
-			return c.bad(&c.front.malformed, err)
+			return c.rejectCommand(&c.server.malformed, err)
 		}
-		s := &slot{c: c, op: op, class: names.classes[op.Category]}
-		op.Reply, op.Request.Parts, op.OnRelease = s, parts, over
+		s := &slot{conn: c, op: op, class: names.classes[op.Category]}
+		op.Reply, op.Request.Parts, op.OnRelease = s, parts, release
 		if !c.reserve(s) {
 			return false
 		}
-		c.handing = s
-		err = c.front.Engine.Submit(op)
-		c.handing = nil
+		c.submitting = s
+		err = c.server.Engine.Submit(op)
+		c.submitting = nil
 		if err == nil {
-			handed = true
+			submitted = true
 			return true
 		}
 		c.mu.Lock()
 		s.op = nil
 		c.mu.Unlock()
 		if errors.Is(err, engine.ErrDuplicateID) {
-			// The op that has this id stays untouched: a value for it belongs to its own client alone.
-			c.front.twice.Add(1)
-			s.put(figures.Failed, errorLine(err), engine.Body{})
-			c.refused++
+			// The op that has this id is left untouched: its value belongs to its own client alone.
+			c.server.duplicates.Add(1)
+			s.setAnswer(figures.Failed, errorLine(err), engine.Body{})
+			c.badCommands++
 			return true
 		}
-		c.front.full.Add(1)
+		c.server.rejected.Add(1)
 		s.Nacked(0)
 		return true
 	case "PING":
-		if c.front.away.Load() {
-			return c.reserve(&slot{c: c, answer: []byte("-ERR sent away: use another proxy\r\n")})
+		if c.server.lameDuck.Load() {
+			return c.reserve(&slot{conn: c, answer: []byte("-ERR sent away: use another proxy\r\n")})
 		}
-		return c.reserve(&slot{c: c, answer: []byte("+PONG\r\n")})
+		return c.reserve(&slot{conn: c, answer: []byte("+PONG\r\n")})
 	case "CLIENT", "SELECT":
-		return c.reserve(&slot{c: c, answer: []byte("+OK\r\n")})
+		return c.reserve(&slot{conn: c, answer: []byte("+OK\r\n")})
 	}
-	return c.bad(&c.front.malformed, errors.New("unknown command '"+name+"'"))
+	return c.rejectCommand(&c.server.malformed, errors.New("unknown command '"+name+"'"))
 }
 
-// refuseRest takes a command on a connection that ends, as there is no room for it or for the bad ones that were read with it: a request gets its
-// answer all the same.
-func (c *conn) refuseRest(name string) bool {
+// refuseBusy refuses the requests of a connection that is being closed because there is no room for it, or because of
+// bad commands read along with them: each request is still answered. Other commands are ignored.
+func (c *conn) refuseBusy(name string) bool {
 	if name != "CACHE.GET" && name != "CACHE.SET" {
 		return true
 	}
-	return c.reserve(&slot{c: c, answer: []byte("-BUSY\r\n")})
+	return c.reserve(&slot{conn: c, answer: []byte("-BUSY\r\n")})
 }
 
-// crowded tells whether a further command has to wait; the mutex is held.
-func (c *conn) crowded() bool { return len(c.slots) >= mostWaiting || c.piled >= mostPiled }
+// isFull reports whether a further command has to wait. The mutex is held.
+func (c *conn) isFull() bool {
+	return len(c.slots) >= maxOutstanding || c.pendingBytes >= maxUnreadAnswers
+}
 
-// reserve appends a slot, once there is room; false means that the connection has ended.
+// reserve appends a slot, and waits for room first. It returns false if the connection has been closed.
 func (c *conn) reserve(s *slot) bool {
 	c.mu.Lock()
-	if c.crowded() && !c.ended {
+	if c.isFull() && !c.closed {
 		c.mu.Unlock()
-		end := c.watch(func() {})
+		stopWatch := c.watchPeer(func() {})
 		c.mu.Lock()
-		for c.crowded() && !c.ended {
-			c.room.Wait()
+		for c.isFull() && !c.closed {
+			c.spaceFreed.Wait()
 		}
 		c.mu.Unlock()
-		end()
+		stopWatch()
 		c.mu.Lock()
 	}
-	if c.ended {
+	if c.closed {
 		c.mu.Unlock()
 		return false
 	}
 	if c.slots = append(c.slots, s); s.class != nil {
-		c.front.Metrics.InFlight.Add(1)
+		c.server.Metrics.InFlight.Add(1)
 	}
-	c.heard = true
-	c.piled += len(s.answer)
-	c.front.piled.Add(int64(len(s.answer)))
-	c.used = time.Now()
-	first := s.answer != nil && len(c.slots) == 1
+	c.commandSeen = true
+	c.pendingBytes += len(s.answer)
+	c.server.pendingBytes.Add(int64(len(s.answer)))
+	c.lastActive = time.Now()
+	isFirst := s.answer != nil && len(c.slots) == 1
 	c.mu.Unlock()
-	if first {
-		c.signal()
+	if isFirst {
+		c.wakeWriter()
 	}
 	return true
 }
--- a/internal/front/slot.go
+++ b/internal/front/slot.go
@@ -10,86 +10,90 @@
 	"minttray/internal/figures"
 )
 
-// slot is one command's place in the order of answers. It is the op's Replier.
+// slot is one command's place in the order of answers. It is the Replier of the command's op.
 type slot struct {
-	c      *conn
-	op     *engine.Op // nil for what needs no op
-	class  *figures.Class
-	end    figures.End // what the answer says, booked once it is written
-	answer []byte      // nil until there is one
-	body   engine.Body // behind the answer, which then is its head
+	conn    *conn
+	op      *engine.Op // nil for a command that needs no op
+	class   *figures.Class
+	outcome figures.End // of the answer; counted once it is written
+	answer  []byte      // nil until there is one; the head of the answer if there is a body
+	body    engine.Body // of a long value, written after answer
 }
 
+// Acked answers with a value.
 func (s *slot) Acked(value []byte) {
-	s.put(figures.Served, redcon.AppendBulk(make([]byte, 0, len(value)+16), value), engine.Body{})
+	s.setAnswer(figures.Served, redcon.AppendBulk(make([]byte, 0, len(value)+16), value), engine.Body{})
 }
 
+// Streamed answers with a long value that is copied as it arrives.
 func (s *slot) Streamed(body engine.Body) {
-	s.put(figures.Served, append(strconv.AppendInt([]byte("$"), int64(body.Size), 10), "\r\n"...), body)
+	s.setAnswer(figures.Served, append(strconv.AppendInt([]byte("$"), int64(body.Size), 10), "\r\n"...), body)
 }
 
-func (s *slot) Nacked(comeBack time.Duration) {
-	if ms := int64((comeBack + time.Millisecond - 1) / time.Millisecond); ms > 0 {
-		s.put(figures.Refused, []byte("-BUSY "+strconv.FormatInt(ms, 10)+"\r\n"), engine.Body{})
+// Nacked refuses the request. A retryAfter above 0 is sent along, rounded up to milliseconds.
+func (s *slot) Nacked(retryAfter time.Duration) {
+	if ms := int64((retryAfter + time.Millisecond - 1) / time.Millisecond); ms > 0 {
+		s.setAnswer(figures.Refused, []byte("-BUSY "+strconv.FormatInt(ms, 10)+"\r\n"), engine.Body{})
 		return
 	}
-	s.put(figures.Refused, []byte("-BUSY\r\n"), engine.Body{})
+	s.setAnswer(figures.Refused, []byte("-BUSY\r\n"), engine.Body{})
 }
 
+// DeadLettered reports a request whose effect is unknown.
 func (s *slot) DeadLettered() {
-	s.put(figures.Failed, []byte("-ERR dead-lettered: it may have run\r\n"), engine.Body{})
+	s.setAnswer(figures.Failed, []byte("-ERR dead-lettered: it may have run\r\n"), engine.Body{})
 }
 
-// put takes the one answer. Danger: a client that leaves just then has its slots let go on another goroutine; all of the answer is set
-// under the mutex.
-func (s *slot) put(end figures.End, answer []byte, body engine.Body) {
-	c := s.c
+// setAnswer records the slot's only answer. All of it is set under the mutex: when the client leaves at that moment,
+// another goroutine closes the slots.
+func (s *slot) setAnswer(outcome figures.End, answer []byte, body engine.Body) {
+	c := s.conn
 	c.mu.Lock()
 	s.body = body
-	if c.ended {
+	if c.closed {
 		c.mu.Unlock()
-		s.let()
+		s.closeBody()
 		return
 	}
-	s.answer, s.end = answer, end
-	c.piled += len(answer)
-	total := c.front.piled.Add(int64(len(answer)))
-	first := c.slots[0] == s
-	// Over the bound for all clients, those that left more than their part unread are let go: a few slow readers
-	// must not take the memory that all need.
-	slow := total > c.front.MaxPendingBytes && int64(c.piled) > c.front.MaxPendingBytes/max(c.front.MaxConns.Load(), 1)
+	s.answer, s.outcome = answer, outcome
+	c.pendingBytes += len(answer)
+	total := c.server.pendingBytes.Add(int64(len(answer)))
+	isFirst := c.slots[0] == s
+	// Above the bound for all clients, a client with more unread bytes than an equal share is disconnected: a few slow
+	// readers must not take the memory that all clients share.
+	isSlow := total > c.server.MaxPendingBytes && int64(c.pendingBytes) > c.server.MaxPendingBytes/max(c.server.MaxConns.Load(), 1)
 	c.mu.Unlock()
-	if slow {
-		c.front.slow.Add(1)
-		go c.drop(slowReader) // drop tells the engine, on whose goroutine this may be
+	if isSlow {
+		c.server.slowReaders.Add(1)
+		go c.abort(slowReader) // abort calls the engine, whose goroutine this may be
 		return
 	}
-	if first {
-		c.signal()
+	if isFirst {
+		c.wakeWriter()
 	}
 }
 
-// let lets go of a value that nobody reads to its end.
-func (s *slot) let() {
+// closeBody closes a long value that is not read to its end.
+func (s *slot) closeBody() {
 	if s.body.Size > 0 {
 		s.body.Close()
 	}
 }
 
-// log tells of a request whose answer has been written, or could not be.
-func (s *slot) log(f *Server, err error) {
+// logAnswered logs a request whose answer has been written, or could not be.
+func (s *slot) logAnswered(srv *Server, err error) {
 	if s.op != nil {
-		f.written(s.op, s.end.String(), err)
+		srv.logAnswered(s.op, s.outcome.String(), err)
 	}
 }
 
-// over books an op's end: once its last byte is written, or as it was lost with its client.
-func (s *slot) over(f *Server, written bool) {
+// recordOutcome updates the metrics when a request ends: after its last byte is written, or when its client is lost.
+func (s *slot) recordOutcome(srv *Server, written bool) {
 	if s.class == nil {
 		return
 	}
-	f.Metrics.InFlight.Add(-1)
+	srv.Metrics.InFlight.Add(-1)
 	if written {
-		s.class.Count(s.end)
+		s.class.Count(s.outcome)
 	}
 }
--- a/internal/front/trace.go
+++ b/internal/front/trace.go
@@ -10,86 +10,91 @@
 )
 
 const (
-	// lateBy is how long past its deadline an answer is written for a line at warn.
-	lateBy = 50 * time.Millisecond
-	// mostWarnings is how many of those lines there are in a second; further ones are counted.
-	mostWarnings = 10
+	// lateThreshold is how long past its deadline an answer is written to be logged at warn.
+	lateThreshold = 50 * time.Millisecond
+	// maxWarningsPerSecond bounds those lines; further ones are only counted.
+	maxWarningsPerSecond = 10
 )
 
 // closeReason is why a connection was closed with requests on it.
 type closeReason string
 
 const (
-	clientGone  closeReason = "client gone"
-	writeFailed closeReason = "write failed"
-	slowReader  closeReason = "answers not read"
-	neverAsked  closeReason = "nothing asked"
-	panicked    closeReason = "panic"
-	allAnswered closeReason = "all answered"
-	valueBroken closeReason = "value not whole"
+	clientGone     closeReason = "client gone"
+	writeFailed    closeReason = "write failed"
+	slowReader     closeReason = "answers not read"
+	noCommand      closeReason = "no command received"
+	connPanicked   closeReason = "panic"
+	allAnswered    closeReason = "all answered"
+	valueTruncated closeReason = "value length mismatch or read error"
 )
 
-var owedNames = [...]string{owesNothing: "nothing", owesReading: "read", owesAnswer: "handed in", owesWriting: "answered, not written"}
+var workStateNames = [...]string{workNone: "nothing", workRead: "read", workSubmitted: "handed in", workAnswered: "answered, not written"}
 
-func (o owed) String() string { return owedNames[o] }
+func (w workState) String() string { return workStateNames[w] }
 
-// warnings bounds lines at warn.
-type warnings struct {
-	second, count, dropped atomic.Int64
+// warningLimiter bounds the log lines at warn in each second.
+type warningLimiter struct {
+	second  atomic.Int64 // Unix time that count belongs to
+	count   atomic.Int64
+	dropped atomic.Int64 // since the start of the process
 }
 
-// allow tells whether one more line may be written now.
-func (w *warnings) allow(now time.Time) bool {
+// allow reports whether one more line may be written now.
+func (w *warningLimiter) allow(now time.Time) bool {
 	if second := now.Unix(); w.second.Swap(second) != second {
 		w.count.Store(0)
 	}
-	if w.count.Add(1) > mostWarnings {
+	if w.count.Add(1) > maxWarningsPerSecond {
 		w.dropped.Add(1)
 		return false
 	}
 	return true
 }
 
-// times adds when a request came to each of its states, in milliseconds since its last byte may have come; what it did not come to is left out.
-func times(l *zerolog.Event, o *engine.Op) *zerolog.Event {
-	l.Str("request", o.Request.ID)
+// addTraceTimes adds when a request reached each of its states, in milliseconds since the earliest time at which its
+// last byte can have arrived. States that it did not reach are omitted.
+func addTraceTimes(l *zerolog.Event, op *engine.Op) *zerolog.Event {
+	l.Str("request", op.Request.ID)
 	for _, state := range []struct {
 		name string
-		at   int64
+		at   int64 // nanoseconds
 	}{
-		{"submitted_ms", o.Trace.Submitted.Load()}, {"arrived_ms", o.Trace.Arrived.Load()}, {"begun_ms", o.Trace.FirstPush.Load()},
-		{"answered_ms", o.Trace.Answered.Load()},
+		{"submitted_ms", op.Trace.Submitted.Load()}, {"arrived_ms", op.Trace.Arrived.Load()}, {"begun_ms", op.Trace.FirstPush.Load()},
+		{"answered_ms", op.Trace.Answered.Load()},
 	} {
 		if state.at > 0 {
 			l.Float64(state.name, float64(state.at)/1e6)
 		}
 	}
-	return l.Int32("attempts", o.Trace.Pushes.Load()).Bool("behind", o.Trace.AnsweredDuringLag.Load())
+	return l.Int32("attempts", op.Trace.Pushes.Load()).Bool("behind", op.Trace.AnsweredDuringLag.Load())
 }
 
-// written logs a request's answer as it is written: at debug, and at warn if it is late.
-func (f *Server) written(o *engine.Op, end string, err error) {
+// logAnswered logs a request when its answer is written: at debug, or at warn if it is late.
+func (srv *Server) logAnswered(op *engine.Op, outcome string, err error) {
 	now := time.Now()
-	late := -o.Remaining(now)
-	l := f.Log.Debug()
-	if late > lateBy && f.late.allow(now) {
-		l = f.Log.Warn()
+	late := -op.Remaining(now)
+	l := srv.Log.Debug()
+	if late > lateThreshold && srv.lateWarnings.allow(now) {
+		l = srv.Log.Warn()
 	}
 	if !l.Enabled() {
 		return
 	}
-	times(l, o).Str("end", end).Float64("written_ms", now.Sub(o.ReceivedAt).Seconds()*1000).Float64("late_ms", late.Seconds()*1000).AnErr("failed", err).
+	addTraceTimes(l, op).Str("end", outcome).Float64("written_ms", now.Sub(op.ReceivedAt).Seconds()*1000).Float64("late_ms", late.Seconds()*1000).AnErr("failed", err).
 		Msg("request answered")
 }
 
-// lost logs a request whose connection was closed ahead of its answer, with where it stood; at warn if the proxy closed it.
-func (f *Server) lost(o *engine.Op, stood owed, why closeReason) {
-	l := f.Log.Debug()
-	if why != clientGone && f.late.allow(time.Now()) {
-		l = f.Log.Warn()
+// logUnanswered logs a request whose connection was closed before its answer was written, with its state; at warn if
+// the proxy closed the connection.
+func (srv *Server) logUnanswered(op *engine.Op, state workState, reason closeReason) {
+	l := srv.Log.Debug()
+	if reason != clientGone && srv.lateWarnings.allow(time.Now()) {
+		l = srv.Log.Warn()
 	}
 	if !l.Enabled() {
 		return
 	}
-	times(l, o).Stringer("stood", stood).Str("reason", string(why)).Float64("closed_ms", time.Since(o.ReceivedAt).Seconds()*1000).Msg("request ended with its connection")
+	addTraceTimes(l, op).Stringer("stood", state).Str("reason", string(reason)).Float64("closed_ms", time.Since(op.ReceivedAt).Seconds()*1000).
+		Msg("connection closed before the request was answered")
 }
--- a/internal/front/trace_test.go
+++ b/internal/front/trace_test.go
@@ -13,23 +13,23 @@
 	"minttray/internal/engine"
 )
 
-// kept is a log that a test reads.
-type kept struct {
+// logBuffer collects log lines.
+type logBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
-func (k *kept) Write(line []byte) (int, error) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.text.Write(line)
+func (b *logBuffer) Write(line []byte) (int, error) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.text.Write(line)
 }
 
-// about gives the lines that name a request.
-func (k *kept) about(id string) (lines []map[string]any) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	for _, text := range strings.Split(strings.TrimSpace(k.text.String()), "\n") {
+// linesFor returns the lines that name a request.
+func (b *logBuffer) linesFor(id string) (lines []map[string]any) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	for _, text := range strings.Split(strings.TrimSpace(b.text.String()), "\n") {
 		var line map[string]any
 		if json.Unmarshal([]byte(text), &line) == nil && line["request"] == id {
 			lines = append(lines, line)
@@ -38,59 +38,60 @@
 	return lines
 }
 
-// What became of a request, and where it stood, is told by the log alone: answered, left by its client unanswered, and not read by it.
+// The log alone must explain what became of a request: answered, abandoned by its client before the answer, or answered
+// and not read.
 func TestALostRequestIsExplainedByTheLog(t *testing.T) {
-	log := &kept{}
-	f, e := serve(t, func(f *Server) { f.Log = zerolog.New(log).Level(zerolog.DebugLevel) })
-	one := func(id string) map[string]any {
+	log := &logBuffer{}
+	srv, e := startServer(t, func(srv *Server) { srv.Log = zerolog.New(log).Level(zerolog.DebugLevel) })
+	firstLine := func(id string) map[string]any {
 		t.Helper()
-		until(t, "a line about "+id, func() bool { return len(log.about(id)) > 0 })
-		return log.about(id)[0]
+		waitUntil(t, "a line about "+id, func() bool { return len(log.linesFor(id)) > 0 })
+		return log.linesFor(id)[0]
 	}
-	c := dial(t, f)
-	c.send(get("answered"))
-	wait(t, e.taken).Reply.Nacked(0)
-	c.want("-BUSY")
-	if line := one("answered"); line["end"] != "refused" || line["written_ms"] == nil || line["level"] != "debug" || line["attempts"] != 0.0 {
+	c := dial(t, srv)
+	c.send(getCommand("answered"))
+	receive(t, e.submitted).Reply.Nacked(0)
+	c.expect("-BUSY")
+	if line := firstLine("answered"); line["end"] != "refused" || line["written_ms"] == nil || line["level"] != "debug" || line["attempts"] != 0.0 {
 		t.Errorf("%v", line)
 	}
-	c.send(get("abandoned"))
-	wait(t, e.taken)
+	c.send(getCommand("abandoned"))
+	receive(t, e.submitted)
 	c.Close()
-	if line := one("abandoned"); line["stood"] != "handed in" || line["reason"] != string(clientGone) || line["closed_ms"] == nil {
+	if line := firstLine("abandoned"); line["stood"] != "handed in" || line["reason"] != string(clientGone) || line["closed_ms"] == nil {
 		t.Errorf("%v", line)
 	}
 	write := newGate()
-	stuck := gated(t, f, gate{}, write)
-	stuck.send(get("first") + get("behind"))
-	wait(t, e.taken).Reply.Acked([]byte("v"))
-	behind := wait(t, e.taken)
-	wait(t, write.reached)
+	stuck := admitGated(t, srv, gate{}, write)
+	stuck.send(getCommand("first") + getCommand("behind"))
+	receive(t, e.submitted).Reply.Acked([]byte("v"))
+	behind := receive(t, e.submitted)
+	receive(t, write.reached)
 	behind.Reply.Acked([]byte("w"))
-	f.only(func(c *conn) bool { go c.drop(slowReader); return true })
-	if line := one("behind"); line["stood"] != "answered, not written" || line["reason"] != string(slowReader) || line["level"] != "warn" {
+	srv.withOnlyConn(func(c *conn) bool { go c.abort(slowReader); return true })
+	if line := firstLine("behind"); line["stood"] != "answered, not written" || line["reason"] != string(slowReader) || line["level"] != "warn" {
 		t.Errorf("%v", line)
 	}
 	close(write.open)
-	if line := one("first"); line["failed"] == nil {
+	if line := firstLine("first"); line["failed"] == nil {
 		t.Errorf("%v", line)
 	}
 }
 
-// An answer past its deadline is told at warn, and not without bound.
+// Late answers are logged at warn, within a bound.
 func TestLateAnswersAreToldWithinABound(t *testing.T) {
-	log := &kept{}
-	f := &Server{Log: zerolog.New(log).Level(zerolog.InfoLevel)}
-	for range 5 * mostWarnings {
+	log := &logBuffer{}
+	srv := &Server{Log: zerolog.New(log).Level(zerolog.InfoLevel)}
+	for range 5 * maxWarningsPerSecond {
 		o := &engine.Op{ReceivedAt: time.Now().Add(-time.Second)}
 		o.Request.ID = "late"
-		f.written(o, "served", nil)
+		srv.logAnswered(o, "served", nil)
 	}
-	lines := log.about("late")
-	if n := len(lines); n < mostWarnings || n > 2*mostWarnings || lines[0]["level"] != "warn" {
-		t.Errorf("%d lines", n)
+	lines := log.linesFor("late")
+	if n := len(lines); n < maxWarningsPerSecond || n > 2*maxWarningsPerSecond || lines[0]["level"] != "warn" {
+		t.Errorf("got %d log lines", n)
 	}
-	if f.late.dropped.Load() == 0 {
-		t.Error("none was dropped")
+	if srv.lateWarnings.dropped.Load() == 0 {
+		t.Error("no log line was dropped")
 	}
 }
--- a/internal/front/writer.go
+++ b/internal/front/writer.go
@@ -1,7 +1,7 @@
 package front
 
 import (
-	"errors"
+	"fmt"
 	"io"
 	"sync"
 	"time"
@@ -11,117 +11,119 @@
 	"minttray/internal/figures"
 )
 
-// write writes answers as far as the order allows.
-func (c *conn) write() {
+const (
+	copyBufferSize    = 32 << 10
+	maxKeptOutputSize = 16 << 10 // a larger output buffer is released after the write
+)
+
+var copyBuffers = sync.Pool{New: func() any { return new([copyBufferSize]byte) }}
+
+// writeLoop writes answers in the order of their commands.
+func (c *conn) writeLoop() {
 	defer func() {
 		if fault := recover(); fault != nil {
-			c.front.panicked(c, fault)
-			c.drop(panicked)
+			c.server.logPanic(c, fault)
+			c.abort(connPanicked)
 		}
 	}()
-	var out []byte
-	var done []slot // whose answers are in out
+	var output []byte
+	var batch []slot // whose answers are in output
 	for range c.wake {
 		c.mu.Lock()
 		n := 0
 		for n < len(c.slots) && c.slots[n].answer != nil && (n == 0 || c.slots[n-1].body.Size == 0) {
-			out = append(out, c.slots[n].answer...)
-			done = append(done, slot{op: c.slots[n].op, class: c.slots[n].class, end: c.slots[n].end, body: c.slots[n].body})
+			output = append(output, c.slots[n].answer...)
+			batch = append(batch, slot{op: c.slots[n].op, class: c.slots[n].class, outcome: c.slots[n].outcome, body: c.slots[n].body})
 			n++
 		}
 		c.slots = append(c.slots[:0], c.slots[n:]...)
-		ended := c.ended
-		c.writing = n > 0 && !ended
+		closed := c.closed
+		c.writing = n > 0 && !closed
 		c.mu.Unlock()
-		if ended {
+		if closed {
 			return
 		}
-		if len(out) > 0 {
-			c.nc.SetWriteDeadline(time.Now().Add(slowClient))
-			why := writeFailed
-			_, err := c.nc.Write(out)
-			for _, s := range done {
-				if err == nil && s.body.Size > 0 { // the last of them
-					if err = c.pass(s.body); err != nil {
-						why = valueBroken
-						s.end = figures.Failed
-						s.over(c.front, true)
-						s.log(c.front, err)
+		if len(output) > 0 {
+			c.nc.SetWriteDeadline(time.Now().Add(writeTimeout))
+			reason := writeFailed
+			_, err := c.nc.Write(output)
+			for _, s := range batch {
+				if err == nil && s.body.Size > 0 { // the last of the batch
+					if err = c.streamBody(s.body); err != nil {
+						reason = valueTruncated
+						s.outcome = figures.Failed
+						s.recordOutcome(c.server, true)
+						s.logAnswered(c.server, err)
 						break
 					}
 				}
-				s.let()
-				s.over(c.front, err == nil)
-				s.log(c.front, err)
+				s.closeBody()
+				s.recordOutcome(c.server, err == nil)
+				s.logAnswered(c.server, err)
 			}
-			clear(done)
-			if done = done[:0]; err != nil {
-				c.drop(why)
+			clear(batch)
+			if batch = batch[:0]; err != nil {
+				c.abort(reason)
 				return
 			}
 		}
 		c.mu.Lock()
 		c.writing = false
-		if lifecycle.ClosePolicy(c.front.phase.Load()) >= lifecycle.CloseAfterReply && len(c.slots) == 0 && len(out) > 0 {
-			// Right behind an answer the client is least likely to be writing: what crosses the end is left unread.
-			c.endReading()
+		if lifecycle.ClosePolicy(c.server.closePolicy.Load()) >= lifecycle.CloseAfterReply && len(c.slots) == 0 && len(output) > 0 {
+			// Right after an answer the client is least likely to be sending; what crosses the close is left unread.
+			c.beginClose()
 		}
-		if !c.ended {
-			c.piled -= len(out)
-			c.front.piled.Add(-int64(len(out)))
+		if !c.closed {
+			c.pendingBytes -= len(output)
+			c.server.pendingBytes.Add(-int64(len(output)))
 		}
-		c.used = time.Now()
-		c.room.Signal()
-		// Not before the reader has stopped: a command that it has read but not yet put in its place would be lost.
-		last := c.closable()
-		more := len(c.slots) > 0 && c.slots[0].answer != nil
+		c.lastActive = time.Now()
+		c.spaceFreed.Signal()
+		// Not before the reader has stopped: a command that was read and has no slot yet would be lost.
+		canClose := c.canClose()
+		hasMore := len(c.slots) > 0 && c.slots[0].answer != nil
 		c.mu.Unlock()
-		if out = out[:0]; cap(out) > 16<<10 {
-			out = nil
+		if output = output[:0]; cap(output) > maxKeptOutputSize {
+			output = nil
 		}
-		if last {
-			c.bye()
+		if canClose {
+			c.closeGracefully()
 			return
 		}
-		if more {
-			c.signal()
+		if hasMore {
+			c.wakeWriter()
 		}
 	}
 }
 
-// pass hands on a value as it comes. The last line end is not written before the value has ended as it should: else the
-// client must be able to tell, by the end of its connection.
-func (c *conn) pass(body engine.Body) error {
+// streamBody copies a long value to the client as it arrives. The final line end is written only if the value has ended
+// as announced: otherwise the client must recognise the truncation by the close of the connection.
+func (c *conn) streamBody(body engine.Body) error {
 	defer body.Close()
 	c.mu.Lock()
-	c.body = &body
+	c.streaming = &body
 	c.mu.Unlock()
-	buf := passing.Get().(*[32 << 10]byte)
-	defer passing.Put(buf)
-	for left := body.Size; ; {
+	buf := copyBuffers.Get().(*[copyBufferSize]byte)
+	defer copyBuffers.Put(buf)
+	for remaining := body.Size; ; {
 		n, err := body.Read(buf[:])
-		if left -= n; err == io.EOF && left == 0 {
-			c.nc.SetWriteDeadline(time.Now().Add(slowClient))
+		if remaining -= n; err == io.EOF && remaining == 0 {
+			c.nc.SetWriteDeadline(time.Now().Add(writeTimeout))
 			_, err = io.WriteString(c.nc, "\r\n")
 			return err
 		}
-		if err == io.EOF || left < 0 {
-			err = errShort
+		if err == io.EOF || remaining < 0 {
+			err = fmt.Errorf("value length mismatch: got %d of %d bytes", body.Size-remaining, body.Size)
 		}
-		if n > 0 && left >= 0 {
-			c.nc.SetWriteDeadline(time.Now().Add(slowClient))
+		if n > 0 && remaining >= 0 {
+			c.nc.SetWriteDeadline(time.Now().Add(writeTimeout))
 			if _, err := c.nc.Write(buf[:n]); err != nil {
 				return err
 			}
 		}
 		if err != nil {
-			c.front.cutOff.Add(1)
+			c.server.truncated.Add(1)
 			return err
 		}
 	}
 }
-
-var (
-	passing  = sync.Pool{New: func() any { return new([32 << 10]byte) }}
-	errShort = errors.New("a value of another length than was said")
-)
--- a/internal/resp/resp.go
+++ b/internal/resp/resp.go
@@ -1,5 +1,6 @@
-// Package resp holds the strict form of RESP2 arrays. redcon's parsers report much that is broken as incomplete, and
-// whoever believes them waits for a rest that never comes. Check runs ahead of them: what it calls whole they can read.
+// Package resp checks RESP2 arrays strictly. redcon's parsers report much malformed input as incomplete, so a caller
+// that relies on them alone waits for bytes that never come. The checks run before those parsers: input that they
+// report as complete can be parsed by redcon.
 package resp
 
 import (
@@ -7,68 +8,73 @@
 	"fmt"
 )
 
-const mostDigits = 9 // of a length: more can only be nonsense, and a line without end is found out early
+// maxLengthDigits bounds the digits of a length. Longer ones are never valid, and the bound detects a length line
+// without an end early.
+const maxLengthDigits = 9
 
-// Limits is what may come.
+// Limits bounds the arrays of bulk strings that are accepted.
 type Limits struct {
-	MaxElements   int  // at most, and one at least
-	MaxBulkLength int  // bulk string
-	AllowNull    bool // a bulk string may be null
+	MaxElements   int  // of an array; at least one element is required
+	MaxBulkLength int  // of one bulk string, in bytes
+	AllowNull     bool // whether an element may be a null bulk string
 }
 
-// BulkTooLongError is a bulk string longer than the form allows. What stands before it is whole and in the form.
+// BulkTooLongError reports a bulk string that exceeds the limits. Everything before it is complete and valid.
 type BulkTooLongError struct {
-	ArrayLength, Index int // of the array; from 0
-	Length, Offset  int // its length, below 0 for nonsense; where it begins
-	MaxLength     int
+	ArrayLength int // number of elements of the array
+	Index       int // of the bulk string in the array, from 0
+	Length      int // announced length in bytes; below 0 if invalid
+	Offset      int // where the bulk string's content begins in the input
+	MaxLength   int // limit in bytes
 }
 
-func (l *BulkTooLongError) Error() string {
-	return fmt.Sprintf("protocol error: a bulk string of %d bytes, at most %d", l.Length, l.MaxLength)
+func (e *BulkTooLongError) Error() string {
+	return fmt.Sprintf("protocol error: a bulk string of %d bytes, at most %d", e.Length, e.MaxLength)
 }
 
-// Before gives the words ahead of it, which stand at the start of b.
-func (l *BulkTooLongError) Before(b []byte) (words [][]byte) {
-	_, at, _ := length(b, 0, '*')
-	for range l.Index {
-		size, from, _ := length(b, at, '$')
-		words = append(words, b[from:from+size])
-		at = from + size + 2
+// ElementsBefore returns the elements before the bulk string that is too long. b is the input that was checked.
+func (e *BulkTooLongError) ElementsBefore(b []byte) (elements [][]byte) {
+	_, at, _ := readLength(b, 0, '*')
+	for range e.Index {
+		size, start, _ := readLength(b, at, '$')
+		elements = append(elements, b[start:start+size])
+		at = start + size + 2
 	}
-	return words
+	return elements
 }
 
+// The texts of these errors are part of replies to clients.
 var (
-	errLine   = errors.New("protocol error: a length line is broken")
-	errBulk   = errors.New("protocol error: a bulk string does not end where its length says")
-	errNumber = errors.New("protocol error: not an array of so many bulk strings")
+	errLengthLine  = errors.New("protocol error: a length line is broken")
+	errBulkEnd     = errors.New("protocol error: a bulk string does not end where its length says")
+	errArrayLength = errors.New("protocol error: not an array of so many bulk strings")
 )
 
-// CheckArray finds the end of the array of bulk strings at the start of b. n is 0 while some of it is missing; an error
-// means that no rest can make it whole, and is given as soon as that is certain.
-func (f Limits) CheckArray(b []byte) (n int, err error) {
-	count, at, err := length(b, 0, '*')
+// CheckArray returns the length n of the array of bulk strings at the start of b, or 0 while it is incomplete. An
+// error means that no further bytes can make it valid, and is returned as soon as that is certain.
+func (l Limits) CheckArray(b []byte) (n int, err error) {
+	count, at, err := readLength(b, 0, '*')
 	if err != nil || at == 0 {
 		return 0, err
 	}
-	if count < 1 || count > f.MaxElements {
-		return 0, errNumber
+	if count < 1 || count > l.MaxElements {
+		return 0, errArrayLength
 	}
 	for i := range count {
-		size, from, err := length(b, at, '$')
-		if err != nil || from == 0 {
+		size, start, err := readLength(b, at, '$')
+		if err != nil || start == 0 {
 			return 0, err
 		}
-		if size < 0 && f.AllowNull {
-			at = from
+		if size < 0 && l.AllowNull {
+			at = start
 			continue
 		}
-		if size < 0 || size > f.MaxBulkLength {
-			return 0, &BulkTooLongError{ArrayLength: count, Index: i, Length: size, Offset: from, MaxLength: f.MaxBulkLength}
+		if size < 0 || size > l.MaxBulkLength {
+			return 0, &BulkTooLongError{ArrayLength: count, Index: i, Length: size, Offset: start, MaxLength: l.MaxBulkLength}
 		}
-		end := from + size
+		end := start + size
 		if len(b) > end && b[end] != '\r' || len(b) > end+1 && b[end+1] != '\n' {
-			return 0, errBulk
+			return 0, errBulkEnd
 		}
 		if at = end + 2; len(b) < at {
 			return 0, nil
@@ -77,25 +83,26 @@
 	return at, nil
 }
 
-// CheckBulk finds the end of one bulk string at the start of b, as Check does of an array.
-func (f Limits) CheckBulk(b []byte) (n int, err error) {
-	const one = "*1\r\n"
-	n, err = f.CheckArray(append([]byte(one), b...))
-	return max(n-len(one), 0), err
+// CheckBulk returns the length n of the bulk string at the start of b, in the way of CheckArray.
+func (l Limits) CheckBulk(b []byte) (n int, err error) {
+	const header = "*1\r\n"
+	n, err = l.CheckArray(append([]byte(header), b...))
+	return max(n-len(header), 0), err
 }
 
-// length reads a type's byte, a number (-1 for null) and the line's end; next is 0 while some of it is missing.
-func length(b []byte, at int, kind byte) (n, next int, err error) {
+// readLength reads a length line at index at: the type byte kind, a number (-1 for null) and the line end. next is the
+// index after the line, or 0 while it is incomplete.
+func readLength(b []byte, at int, kind byte) (n, next int, err error) {
 	if at >= len(b) {
 		return 0, 0, nil
 	}
 	if b[at] != kind {
-		return 0, 0, errLine
+		return 0, 0, errLengthLine
 	}
 	digits, negative := 0, false
 	for i := at + 1; i < len(b); i++ {
 		switch c := b[i]; {
-		case c >= '0' && c <= '9' && digits < mostDigits:
+		case c >= '0' && c <= '9' && digits < maxLengthDigits:
 			n, digits = n*10+int(c-'0'), digits+1
 		case c == '-' && i == at+1:
 			negative = true
@@ -104,14 +111,14 @@
 				return 0, 0, nil
 			}
 			if b[i+1] != '\n' || negative && n != 1 {
-				return 0, 0, errLine
+				return 0, 0, errLengthLine
 			}
 			if negative {
 				n = -1
 			}
 			return n, i + 2, nil
 		default:
-			return 0, 0, errLine
+			return 0, 0, errLengthLine
 		}
 	}
 	return 0, 0, nil
