--- a/internal/front/arrival_reader_test.go
+++ b/internal/front/arrival_reader_test.go
@@ -61,12 +61,12 @@
 	const many = maxOutstanding + 100
 	srv, e := startServer(t, nil)
 	c := dial(t, srv)
-	var all strings.Builder
+	var commands strings.Builder
 	for i := range many {
-		all.WriteString(command("CACHE.GET", "k", fmt.Sprint("id", i), "c=read,d="+clientWaitMS))
+		commands.WriteString(command("CACHE.GET", "k", fmt.Sprint("id", i), "c=read,d="+clientWaitMS))
 	}
 	begun := time.Now()
-	c.send(all.String())
+	c.send(commands.String())
 	written := time.Now()
 	var ops []*engine.Op
 	for range maxOutstanding {
@@ -92,22 +92,22 @@
 	for i, c := range busy { // without room, the accept loop waits at the next connection
 		c.send(command("CACHE.GET", "k", fmt.Sprint("busy", i), "c=read,d="+clientWaitMS))
 	}
-	held := []*engine.Op{receive(t, e.submitted), receive(t, e.submitted)}
+	openOps := []*engine.Op{receive(t, e.submitted), receive(t, e.submitted)}
 	begun := time.Now()
-	var ahead []*client // rejected one after the other, each after admissionTimeout
+	var queued []*client // rejected one after the other, each after admissionTimeout
 	for range readDelay/admissionTimeout + 1 {
-		ahead = append(ahead, dial(t, srv))
+		queued = append(queued, dial(t, srv))
 	}
 	last := dial(t, srv)
 	last.send(command("CACHE.GET", "k", "last", "c=read,d="+clientWaitMS))
 	written := time.Now()
-	for _, c := range ahead[:len(ahead)-1] {
+	for _, c := range queued[:len(queued)-1] {
 		c.expect("EOF")
 	}
-	for _, o := range held { // makes room, or the last one would be refused
+	for _, o := range openOps { // makes room, or the last one would be refused
 		o.Reply.Nacked(0)
 	}
-	ahead[len(ahead)-1].expect("EOF")
+	queued[len(queued)-1].expect("EOF")
 	o := receive(t, e.submitted)
 	if o.Request.ID != "last" || time.Since(written) < readDelay {
 		t.Fatalf("got request %s after %v: the test did not delay the accept of the last connection", o.Request.ID, time.Since(written))
@@ -119,16 +119,16 @@
 // scheduled. Once the process has run for a while, deadlines count as usual again. The kernel keeps no receive time for
 // Unix sockets, so only the stall monitor bounds the arrival here.
 func TestTheTimeOfACommandThatCameInAStallRunsOn(t *testing.T) {
-	beat := pulse.New(time.Now())
-	srv, e := startServer(t, func(srv *Server) { srv.Pulse = beat })
+	monitor := pulse.New(time.Now())
+	srv, e := startServer(t, func(srv *Server) { srv.Pulse = monitor })
 	c := connPairOn(t, "unix", filepath.Join(t.TempDir(), "s"), func(nc net.Conn) { srv.admit(nc, time.Now()) })
 	c.send(command("PING"))
 	c.expect("+PONG")
 	for until := time.Now().Add(readDelay); time.Now().Before(until); time.Sleep(pulse.BeatInterval / 4) { // until the reader waits
-		beat.Beat(time.Now())
+		monitor.Beat(time.Now())
 	}
 	last := time.Now()
-	beat.Beat(last)
+	monitor.Beat(last)
 	time.Sleep(readDelay)
 	c.send(command("CACHE.GET", "k", "stalled", "c=read,d="+clientWaitMS))
 	o := receive(t, e.submitted)
@@ -141,7 +141,7 @@
 		for clock := time.NewTicker(pulse.BeatInterval / 4); ; {
 			select {
 			case now := <-clock.C:
-				beat.Beat(now)
+				monitor.Beat(now)
 			case <-stop:
 				clock.Stop()
 				return
@@ -165,17 +165,17 @@
 	for _, id := range []string{"first", "second"} {
 		time.Sleep(readDelay)
 		begun := time.Now()
-		half := command("CACHE.GET", "k", id, "c=read,d="+clientWaitMS)
-		c.send(half[:20])
+		request := command("CACHE.GET", "k", id, "c=read,d="+clientWaitMS)
+		c.send(request[:20])
 		time.Sleep(readDelay)
-		rest := time.Now()
-		c.send(half[20:])
+		restSentAt := time.Now()
+		c.send(request[20:])
 		written := time.Now()
 		o := receive(t, e.submitted)
-		if begun.After(rest) {
+		if begun.After(restSentAt) {
 			t.Fatal("the command was not sent in two parts")
 		}
-		checkDeadline(t, o, rest, written)
+		checkDeadline(t, o, restSentAt, written)
 		o.Reply.Nacked(0)
 		c.expect("-BUSY")
 	}
@@ -211,8 +211,8 @@
 // Guards against a wrong arrival bound when one stall follows another: input of the first stall is read after the second
 // one or much later. A process that runs only part of the time would date each request too early.
 func TestTheTimeOfACommandThatCameInAnEarlierStall(t *testing.T) {
-	beat := pulse.New(time.Now())
-	srv, e := startServer(t, func(srv *Server) { srv.Pulse = beat })
+	monitor := pulse.New(time.Now())
+	srv, e := startServer(t, func(srv *Server) { srv.Pulse = monitor })
 	woken := newGate()
 	c := connPair(t, func(nc net.Conn) { srv.admit(&gatedWakeSocket{nc.(*net.TCPConn), woken}, time.Now()) })
 	time.Sleep(2 * pulse.BeatInterval) // until the reader waits
@@ -222,9 +222,9 @@
 	receive(t, woken.reached)
 	for range 3 { // stalls with little time between them
 		time.Sleep(readDelay / 3)
-		beat.Beat(time.Now())
+		monitor.Beat(time.Now())
 		time.Sleep(pulse.BeatInterval / 4)
-		beat.Beat(time.Now())
+		monitor.Beat(time.Now())
 	}
 	close(woken.open)
 	o := receive(t, e.submitted)
--- a/internal/front/client_exit_test.go
+++ b/internal/front/client_exit_test.go
@@ -15,14 +15,14 @@
 	"minttray/internal/figures"
 )
 
-// withOnlyConn calls look with the server's only connection, under both mutexes.
-func (srv *Server) withOnlyConn(look func(c *conn) bool) bool {
+// withOnlyConn calls inspect with the server's only connection, under both mutexes.
+func (srv *Server) withOnlyConn(inspect func(c *conn) bool) bool {
 	srv.mu.Lock()
 	defer srv.mu.Unlock()
 	for c := range srv.conns {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		return look(c)
+		return inspect(c)
 	}
 	return false
 }
@@ -96,8 +96,8 @@
 func TestWhatWaitsUnreadIsReadAfterwards(t *testing.T) {
 	srv, e := startServer(t, nil)
 	c := dial(t, srv)
-	const more = 5
-	for i := range maxOutstanding + more {
+	const extra = 5
+	for i := range maxOutstanding + extra {
 		c.send(getCommand(fmt.Sprint("op", i)))
 	}
 	var ops []*engine.Op
@@ -109,7 +109,7 @@
 		t.Fatal("more requests submitted than may be outstanding")
 	default:
 	}
-	for i := range maxOutstanding + more {
+	for i := range maxOutstanding + extra {
 		if i >= len(ops) {
 			ops = append(ops, receive(t, e.submitted))
 		}
@@ -195,21 +195,21 @@
 // Guards against a data race: a client leaves while another goroutine announces a long value for it, and abort closes a
 // slot that is only partly set. The test holds the connection's mutex until the announcement waits for it.
 func TestAValueIsAnnouncedUnderTheMutex(t *testing.T) {
-	ours, theirs := net.Pipe()
-	defer theirs.Close()
+	serverSide, clientSide := net.Pipe()
+	defer clientSide.Close()
 	srv := &Server{Engine: &noopEngine{}, Metrics: figures.New(), MaxPendingBytes: 1 << 20, conns: map[*conn]struct{}{}, connClosed: make(chan struct{}, 1)}
 	srv.MaxConns.Store(1)
-	c := newConn(srv, ours, time.Now())
+	c := newConn(srv, serverSide, time.Now())
 	s := &slot{conn: c, op: &engine.Op{}}
 	c.slots = []*slot{s}
 	r, w := io.Pipe()
 	c.mu.Lock()
-	passed := make(chan bool)
+	streamed := make(chan bool)
 	go func() {
 		s.Streamed(engine.Body{Size: 100000, ReadCloser: r})
-		close(passed)
+		close(streamed)
 	}()
-	for late := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
+	for giveUpAt := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 		stacks := make([]byte, 1<<20)
 		stacks = stacks[:runtime.Stack(stacks, true)]
 		waitsForMutex := slices.ContainsFunc(strings.Split(string(stacks), "\n\n"), func(goroutine string) bool {
@@ -218,7 +218,7 @@
 		if waitsForMutex {
 			break
 		}
-		if time.Now().After(late) {
+		if time.Now().After(giveUpAt) {
 			t.Fatal("Streamed does not wait for the mutex")
 		}
 	}
@@ -226,7 +226,7 @@
 		t.Error("the value was set without the mutex")
 	}
 	c.abortAndUnlock(clientGone) // releases the mutex: the client has left first
-	<-passed
+	<-streamed
 	if _, err := w.Write([]byte("v")); err != io.ErrClosedPipe {
 		t.Errorf("writing the value: got %v, want io.ErrClosedPipe", err)
 	}
--- a/internal/front/closing_test.go
+++ b/internal/front/closing_test.go
@@ -61,34 +61,34 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	theirs, err := net.Dial(network, l.Addr().String())
+	clientSide, err := net.Dial(network, l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	ours, err := l.Accept()
+	serverSide, err := l.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { theirs.Close(); ours.Close() })
-	theirs.SetDeadline(time.Now().Add(testTimeout))
-	admit(ours)
-	return newClient(t, theirs)
+	t.Cleanup(func() { clientSide.Close(); serverSide.Close() })
+	clientSide.SetDeadline(time.Now().Add(testTimeout))
+	admit(serverSide)
+	return newClient(t, clientSide)
 }
 
 // admitGated admits a connection with the given gates and returns its client.
 func admitGated(t *testing.T, srv *Server, read, write gate) *client {
 	t.Helper()
-	return connPair(t, func(ours net.Conn) { srv.admit(&gatedConn{ours, read, write}, time.Now()) })
+	return connPair(t, func(serverSide net.Conn) { srv.admit(&gatedConn{serverSide, read, write}, time.Now()) })
 }
 
 // closers are the ways in which the proxy closes a client's connection on its own.
 var closers = map[string]func(srv *Server){
 	"eviction": func(srv *Server) {
 		srv.mu.Lock()
-		chosen, _ := srv.evictionCandidate(time.Now().Add(time.Hour), false)
+		candidate, _ := srv.evictionCandidate(time.Now().Add(time.Hour), false)
 		srv.mu.Unlock()
-		if chosen != nil {
-			chosen.evict()
+		if candidate != nil {
+			candidate.evict()
 		}
 	},
 	"lame duck":         func(srv *Server) { srv.ApplyPhase(lifecycle.CloseInformed, false, 0) },
@@ -218,14 +218,14 @@
 		t.Run(name, func(t *testing.T) {
 			srv, e := startServer(t, nil)
 			read := newGate()
-			var ours *gatedSocket
+			var serverSide *gatedSocket
 			c := connPair(t, func(nc net.Conn) {
-				ours = &gatedSocket{nc.(*net.TCPConn), read}
-				srv.admit(ours, time.Now())
+				serverSide = &gatedSocket{nc.(*net.TCPConn), read}
+				srv.admit(serverSide, time.Now())
 			})
 			receive(t, read.reached)
 			c.send(getCommand("a"))
-			waitUntil(t, "unread input", func() bool { return hasUnreadInput(ours.TCPConn) })
+			waitUntil(t, "unread input", func() bool { return hasUnreadInput(serverSide.TCPConn) })
 			end(srv)
 			close(read.open)
 			receive(t, e.submitted).Reply.Acked([]byte("v"))
--- a/internal/front/listen_test.go
+++ b/internal/front/listen_test.go
@@ -8,12 +8,12 @@
 // Guards against resets of connections in the accept queue of a process that ends: with two listeners on an address, new
 // connections go to the newer one, and the queue of the older one can be accepted without blocking.
 func TestTwoListenAtOneAddress(t *testing.T) {
-	old, err := listen("127.0.0.1:0", true)
+	older, err := listen("127.0.0.1:0", true)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer old.Close()
-	addr := old.Addr().String()
+	defer older.Close()
+	addr := older.Addr().String()
 	dial := func(n int) {
 		for range n {
 			c, err := net.Dial("tcp", addr)
@@ -23,16 +23,16 @@
 			t.Cleanup(func() { c.Close() })
 		}
 	}
-	if err := steerToNewest(old); err != nil {
+	if err := steerToNewest(older); err != nil {
 		t.Skipf("socket filters are not permitted: %v", err)
 	}
 	dial(5)
-	next, err := listen(addr, true)
+	newer, err := listen(addr, true)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer next.Close()
-	if err := steerToNewest(next); err != nil {
+	defer newer.Close()
+	if err := steerToNewest(newer); err != nil {
 		t.Fatal(err)
 	}
 	dial(40)
@@ -43,12 +43,12 @@
 		}
 		return len(accepted)
 	}
-	if oldCount, newCount := count(old), count(next); oldCount != 5 || newCount != 40 {
+	if oldCount, newCount := count(older), count(newer); oldCount != 5 || newCount != 40 {
 		t.Errorf("%d connections to the old listener, %d to the new one", oldCount, newCount)
 	}
-	old.Close()
+	older.Close()
 	dial(7) // one listener remains and gets all connections
-	if accepted := count(next); accepted != 7 {
+	if accepted := count(newer); accepted != 7 {
 		t.Errorf("%d of 7 connections arrived", accepted)
 	}
 	third, err := listen(addr, true)
@@ -60,7 +60,7 @@
 		t.Fatal(err)
 	}
 	dial(20)
-	if oldCount, newCount := count(next), count(third); oldCount != 0 || newCount != 20 {
+	if oldCount, newCount := count(newer), count(third); oldCount != 0 || newCount != 20 {
 		t.Errorf("second upgrade: %d connections to the old listener, %d to the new one", oldCount, newCount)
 	}
 }
--- a/internal/front/long_value_test.go
+++ b/internal/front/long_value_test.go
@@ -44,8 +44,8 @@
 	c.expect("-BUSY")
 	receive(t, e.submitted).Reply.Acked([]byte("v"))
 	c.expect("$1", "v")
-	for late := time.Now().Add(testTimeout); srv.Metrics.InFlight.Load() != 0; time.Sleep(time.Millisecond) { // updated after the write
-		if time.Now().After(late) {
+	for giveUpAt := time.Now().Add(testTimeout); srv.Metrics.InFlight.Load() != 0; time.Sleep(time.Millisecond) { // updated after the write
+		if time.Now().After(giveUpAt) {
 			t.Fatal("request still counted as in flight")
 		}
 	}
@@ -71,8 +71,8 @@
 	c := dial(t, srv)
 	c.send(command("CACHE.SET", "k", "id", "c=put,d=5", long))
 	c.expect("-BUSY")
-	for late := time.Now().Add(testTimeout); !srv.longValueBudget.TryAcquire(srv.MaxLongValueBytes); time.Sleep(time.Millisecond) {
-		if time.Now().After(late) {
+	for giveUpAt := time.Now().Add(testTimeout); !srv.longValueBudget.TryAcquire(srv.MaxLongValueBytes); time.Sleep(time.Millisecond) {
+		if time.Now().After(giveUpAt) {
 			t.Fatal("budget not released")
 		}
 	}
@@ -118,9 +118,9 @@
 		value, _ := pipedBody(failure.pieces, failure.err)
 		receive(t, e.submitted).Reply.Streamed(value)
 		c.expect("$100000")
-		rest, _ := io.ReadAll(c.reader)
-		if len(rest) > 100000 || strings.Contains(string(rest), "\r\n") {
-			t.Errorf("%+v: got %d bytes that look like a complete value", failure, len(rest))
+		received, _ := io.ReadAll(c.reader)
+		if len(received) > 100000 || strings.Contains(string(received), "\r\n") {
+			t.Errorf("%+v: got %d bytes that look like a complete value", failure, len(received))
 		}
 	}
 	if class := srv.Metrics.Class("read"); srv.Metrics.InFlight.Load() != 0 || class == nil || srv.Metrics.Sum(2) != 4 {
--- a/internal/front/server_test.go
+++ b/internal/front/server_test.go
@@ -84,9 +84,9 @@
 
 func newClient(t *testing.T, c net.Conn) *client { return &client{t, c, bufio.NewReader(c)} }
 
-func command(w ...string) string {
-	s := fmt.Sprintf("*%d\r\n", len(w))
-	for _, word := range w {
+func command(args ...string) string {
+	s := fmt.Sprintf("*%d\r\n", len(args))
+	for _, word := range args {
 		s += fmt.Sprintf("$%d\r\n%s\r\n", len(word), word)
 	}
 	return s
@@ -344,12 +344,12 @@
 			}
 		}
 	}()
-	for late := time.After(testTimeout); srv.slowReaders.Load() == 0; {
+	for giveUpAt := time.After(testTimeout); srv.slowReaders.Load() == 0; {
 		select {
 		case o := <-e.submitted:
 			o.Reply.Acked(value)
 		case <-time.After(10 * time.Millisecond):
-		case <-late:
+		case <-giveUpAt:
 			t.Fatal("the slow reader was not disconnected")
 		}
 	}
@@ -364,8 +364,8 @@
 // waitUntil waits for a condition that a counter or table will meet.
 func waitUntil(t *testing.T, what string, ok func() bool) {
 	t.Helper()
-	for late := time.Now().Add(testTimeout); !ok(); time.Sleep(time.Millisecond) {
-		if time.Now().After(late) {
+	for giveUpAt := time.Now().Add(testTimeout); !ok(); time.Sleep(time.Millisecond) {
+		if time.Now().After(giveUpAt) {
 			t.Fatal("timed out waiting for: " + what)
 		}
 	}
@@ -420,12 +420,12 @@
 // all would reach their timeouts and reconnect.
 func TestCrowdThatStaysDoesNotHoldUpNewcomers(t *testing.T) {
 	srv, e := startServer(t, func(srv *Server) { srv.MaxConns.Store(30) })
-	var crowd []*client
+	var idleClients []*client
 	for range 30 {
 		c := dial(t, srv)
 		c.send(command("PING"))
 		c.expect("+PONG")
-		crowd = append(crowd, c) // never closed by the client
+		idleClients = append(idleClients, c) // never closed by the client
 	}
 	time.Sleep(2 * activityGrace)
 	for i := range 20 {
@@ -440,7 +440,7 @@
 	if n > int(srv.MaxConns.Load()) || srv.evicted.Load() < 20 || srv.evicted.Load() > 40 || srv.rejectedConns.Load() > 0 {
 		t.Errorf("%d open, %d evicted for 20 new clients, %d rejected", n, srv.evicted.Load(), srv.rejectedConns.Load())
 	}
-	for i, c := range crowd[:16] { // the longest idle are evicted: half, then one for each new client
+	for i, c := range idleClients[:16] { // the longest idle are evicted: half, then one for each new client
 		if line := c.readLine(); line != "EOF" {
 			t.Errorf("connection %d: got %q, want EOF", i, line)
 		}
@@ -504,16 +504,16 @@
 	}
 	names := NewNameTable(testSettings, figures.New())
 	f.Fuzz(func(t *testing.T, b []byte) {
-		n, w, err := nextCommand(b, nil)
-		if n > len(b) || n > 0 && (err != nil || len(w) == 0) {
-			t.Fatalf("%d, %q, %v", n, w, err)
+		n, args, err := nextCommand(b, nil)
+		if n > len(b) || n > 0 && (err != nil || len(args) == 0) {
+			t.Fatalf("%d, %q, %v", n, args, err)
 		}
 		if n == 0 {
 			return
 		}
 		now := time.Now()
-		if o, err := names.parseRequest(w, len(w) == 5, now); err == nil && (o.Request.Deadline.Remaining(now) <= 0 || o.Key == 0 ||
-			o.Request.Properties.Size() >= len(w[3]) || o.Request.Properties.Size() == 0 || !isPlainText(o.Request.ID)) {
+		if o, err := names.parseRequest(args, len(args) == 5, now); err == nil && (o.Request.Deadline.Remaining(now) <= 0 || o.Key == 0 ||
+			o.Request.Properties.Size() >= len(args[3]) || o.Request.Properties.Size() == 0 || !isPlainText(o.Request.ID)) {
 			t.Errorf("%q: invalid op %+v", b, o)
 		}
 	})
@@ -583,8 +583,8 @@
 	time.AfterFunc(50*time.Millisecond, func() { close(started) })
 	time.Sleep(400 * time.Millisecond)
 	srv.Close()
-	for late := time.Now().Add(testTimeout); srv.OpenConns() > 0; time.Sleep(10 * time.Millisecond) {
-		if srv.ApplyPhase(lifecycle.CloseAll, true, 0); time.Now().After(late) {
+	for giveUpAt := time.Now().Add(testTimeout); srv.OpenConns() > 0; time.Sleep(10 * time.Millisecond) {
+		if srv.ApplyPhase(lifecycle.CloseAll, true, 0); time.Now().After(giveUpAt) {
 			t.Fatalf("%d connections still open", srv.OpenConns())
 		}
 	}
@@ -615,8 +615,8 @@
 	time.Sleep(firstCommandGrace + activityGrace)
 	for _, part := range []float64{0.25, 0.5, 1} {
 		want := len(idle) - int(part*float64(len(idle)))
-		for late := time.Now().Add(testTimeout); srv.OpenConns() > want+1+3; time.Sleep(5 * time.Millisecond) {
-			if srv.ApplyPhase(lifecycle.CloseAfterReply, true, part); time.Now().After(late) {
+		for giveUpAt := time.Now().Add(testTimeout); srv.OpenConns() > want+1+3; time.Sleep(5 * time.Millisecond) {
+			if srv.ApplyPhase(lifecycle.CloseAfterReply, true, part); time.Now().After(giveUpAt) {
 				t.Fatalf("%d open at fraction %v", srv.OpenConns(), part)
 			}
 		}
--- a/internal/front/trace.go
+++ b/internal/front/trace.go
@@ -26,7 +26,7 @@
 	noCommand      closeReason = "no command received"
 	connPanicked   closeReason = "panic"
 	allAnswered    closeReason = "all answered"
-	valueTruncated closeReason = "value length mismatch or read error"
+	valueTruncated closeReason = "value not completely sent"
 )
 
 var workStateNames = [...]string{workNone: "nothing", workRead: "read", workSubmitted: "handed in", workAnswered: "answered, not written"}
