--- a/internal/front/reader.go
+++ b/internal/front/reader.go
@@ -220,7 +220,8 @@
 	}, s)
 }
 
-// rejectCommand replies with an error to a command whose bounds are known, so that the connection can go on.
+// rejectCommand replies with an error to a command whose bounds are known, so that the connection can go on. readLoop
+// closes it after maxBadCommands of them.
 func (c *conn) rejectCommand(counter *atomic.Int64, err error) (readOn bool) {
 	c.replyError(counter, err)
 	c.badCommands++
