--- a/decide/site/hand_test.go
+++ b/decide/site/hand_test.go
@@ -6,11 +6,11 @@
 func TestHand(t *testing.T) {
 	const caches, over = 100, 1000
 	for _, out := range []bool{true, false} {
-		h, last := Hand[int64]{Out: out, At: 5000, Over: over}, map[uint32]bool{}
+		h, last := Rollout[int64]{Excluded: out, StartedAt: 5000, Duration: over}, map[uint32]bool{}
 		for now := int64(5000); now <= 5000+over; now += 50 {
 			n := 0
 			for id := uint32(0); id < caches; id++ {
-				is := h.Holds(id, now)
+				is := h.IsExcluded(id, now)
 				if was, seen := last[id]; seen && was != is && is != out {
 					t.Errorf("%d turns back at %d", id, now)
 				}
@@ -22,7 +22,7 @@
 				t.Errorf("%d of %d have followed at %d", n, caches, now)
 			}
 		}
-		if !h.Followed(5000+over) || h.Followed(5000+over-1) || !h.Followed(0) || h.Holds(1, 0) != out || h.Holds(1, 5000+over) != out {
+		if !h.Done(5000+over) || h.Done(5000+over-1) || !h.Done(0) || h.IsExcluded(1, 0) != out || h.IsExcluded(1, 5000+over) != out {
 			t.Errorf("%v: the end", out)
 		}
 	}
--- a/decide/site/ladder_test.go
+++ b/decide/site/ladder_test.go
@@ -73,19 +73,19 @@
 
 // Live, the same ladder: what is beyond a share goes first, then the category of least benefit; in all, so much is let through.
 func TestLive(t *testing.T) {
-	var l Live
-	if l.Pass(0, false, 0.4) != 0.4 { // nothing is known yet
+	var l LoadShedder
+	if l.AdmitShare(0, false, 0.4) != 0.4 { // nothing is known yet
 		t.Error("a share of its own")
 	}
 	benefits := []float64{5, 2}
 	for range 200 {
 		for c, b := range benefits {
-			l.Asked(c, false, b)
-			l.Asked(c, true, 0.1*b)
+			l.Observe(c, false, b)
+			l.Observe(c, true, 0.1*b)
 		}
 	}
 	for share, want := range map[float64][4]float64{1: {1, 1, 1, 1}, 0.75: {1, 1, 1, 0}, 0.5: {1, 1, 0, 0}, 0.375: {1, 0.5, 0, 0}} {
-		for i, got := range []float64{l.Pass(0, false, share), l.Pass(1, false, share), l.Pass(0, true, share), l.Pass(1, true, share)} {
+		for i, got := range []float64{l.AdmitShare(0, false, share), l.AdmitShare(1, false, share), l.AdmitShare(0, true, share), l.AdmitShare(1, true, share)} {
 			if math.Abs(got-want[i]) > 0.05 || got <= 0 {
 				t.Errorf("%v: kind %d: %v, wanted %v", share, i, got, want[i])
 			}
--- a/decide/site/live.go
+++ b/decide/site/live.go
@@ -1,8 +1,8 @@
 package site
 
-// Live is the ladder as one instance climbs it: from what it is asked for lately, and the part of all that can be served. The
+// LoadShedder is the ladder as one instance climbs it: from what it is asked for lately, and the part of all that can be served. The
 // zero value has been asked for nothing.
-type Live struct {
+type LoadShedder struct {
 	rungs []Rung
 	pass  []float64
 	share float64 // that pass was worked out for
@@ -22,8 +22,8 @@
 	return 2 * category
 }
 
-// Asked books an op that brings so much.
-func (l *Live) Asked(category int, beyond bool, benefit float64) {
+// Observe books an op that brings so much.
+func (l *LoadShedder) Observe(category int, beyond bool, benefit float64) {
 	kind := kind(category, beyond)
 	for len(l.rungs) <= kind {
 		l.rungs = append(l.rungs, Rung{Work: 1})
@@ -34,8 +34,8 @@
 	l.rungs[kind].Rate, l.rungs[kind].Benefit = l.rungs[kind].Rate+1, benefit
 }
 
-// Pass is the share of such ops that is let through when so much of all can be served.
-func (l *Live) Pass(category int, beyond bool, share float64) float64 {
+// AdmitShare is the share of such ops that is let through when so much of all can be served.
+func (l *LoadShedder) AdmitShare(category int, beyond bool, share float64) float64 {
 	kind := kind(category, beyond)
 	if share >= 1 || kind >= len(l.rungs) {
 		return share
--- a/decide/site/plan.go
+++ b/decide/site/plan.go
@@ -54,9 +54,9 @@
 	Fetches  float64 // that it does in a second
 	MissWork float64 // of a hit's work, for a miss
 	Hits     float64 // share of the reads that hit with all caches there and warm
-	Keys     float64 // that there are
-	Zipf     float64 // exponent of their popularity, over 1
-	Flat     float64 // so many of the most popular are about alike
+	KeyCount     float64 // that there are
+	ZipfExponent     float64 // exponent of their popularity, over 1
+	ZipfOffset     float64 // so many of the most popular are about alike
 	Full     float64 // share of the caches' work that may be planned with
 }
 
@@ -119,7 +119,7 @@
 	err := errors.Join(in("sites", float64(len(d.Sites)), 1, mostSites), in("caches", float64(len(d.Caches)), 1, mostCaches),
 		in("categories", float64(len(d.Categories)), 1, mostCategories), in("origin.fetches", d.Fetches, 0, 1e9),
 		in("origin.site", float64(d.Origin), 0, float64(len(d.Sites)-1)),
-		in("hits", d.Hits, 0, 1), in("keys.count", d.Keys, 1, 1e12), in("keys.zipf", d.Zipf, 0, 10), in("keys.flat", d.Flat, 0, 1e9),
+		in("hits", d.Hits, 0, 1), in("keys.count", d.KeyCount, 1, 1e12), in("keys.zipf", d.ZipfExponent, 0, 10), in("keys.flat", d.ZipfOffset, 0, 1e9),
 		in("full", d.Full, 0.01, 1), in("cold.from", d.ColdFrom, 0, 1), in("cold.warm_up", d.WarmUp, 0, 1e6), in("cold.fall_multiple", d.FallMultiple, 0, 1e3))
 	for _, s := range d.Sites {
 		err = errors.Join(err, in("ops of "+s.Name, s.Ops, 0, 1e9), in("proxies of "+s.Name, float64(s.Proxies), 0, 1e6))
@@ -164,14 +164,14 @@
 	return keys, share
 }
 
-// Mass is the share of all ops that ask for the n most popular keys.
-func (d *Deployment) Mass(n float64) float64 {
-	return d.sum(min(max(n, 0), d.Keys), d.Zipf) / d.sum(d.Keys, d.Zipf)
+// TopKeysShare is the share of all ops that ask for the n most popular keys.
+func (d *Deployment) TopKeysShare(n float64) float64 {
+	return d.sum(min(max(n, 0), d.KeyCount), d.ZipfExponent) / d.sum(d.KeyCount, d.ZipfExponent)
 }
 
 // sum is that of (k+flat)^-power for k from 1 to n, by its integral.
 func (d *Deployment) sum(n, power float64) float64 {
-	f := d.Flat + 0.5
+	f := d.ZipfOffset + 0.5
 	if math.Abs(power-1) < 1e-9 {
 		return math.Log((n + f) / f)
 	}
@@ -183,7 +183,7 @@
 	if all <= 0 || kept >= all {
 		return d.Hits
 	}
-	return d.Hits * d.Mass(kept) / max(d.Mass(all), 1e-12)
+	return d.Hits * d.TopKeysShare(kept) / max(d.TopKeysShare(all), 1e-12)
 }
 
 // For is the plan for a loss.
@@ -340,7 +340,7 @@
 	for _, c := range d.Caches {
 		kept += c.Keys
 	}
-	kept = min(kept, d.Keys)
+	kept = min(kept, d.KeyCount)
 	gap, steady := settled-cold, p.Phases[1].Asked.Fetches
 	whole, rank := gap, 0.0
 	for at := 0.0; at < longest; at += tick {
@@ -349,15 +349,15 @@
 			return
 		}
 		// Those still cold are, about, the less popular ones: their mean popularity, drawn by popularity.
-		for rank < kept && 1-d.Mass(rank)/d.Mass(kept) > gap/whole {
+		for rank < kept && 1-d.TopKeysShare(rank)/d.TopKeysShare(kept) > gap/whole {
 			rank = rank*1.1 + 1
 		}
-		each := d.squares(rank, kept) / max(d.Mass(kept)-d.Mass(rank), 1e-12)
+		each := d.squares(rank, kept) / max(d.TopKeysShare(kept)-d.TopKeysShare(rank), 1e-12)
 		fetches := min(reads*gap, room.Fetches-steady)
 		if fetches <= 0 {
 			break
 		}
-		gap -= fetches * tick * each * settled / max(d.Mass(kept), 1e-12)
+		gap -= fetches * tick * each * settled / max(d.TopKeysShare(kept), 1e-12)
 	}
 	p.Filled = math.Inf(1)
 }
@@ -370,8 +370,8 @@
 
 // squares is the sum of the squared popularity of keys from one rank to another.
 func (d *Deployment) squares(from, to float64) float64 {
-	all := d.sum(d.Keys, d.Zipf)
-	return max(d.sum(to, 2*d.Zipf)-d.sum(from, 2*d.Zipf), 0) / max(all*all, 1e-12)
+	all := d.sum(d.KeyCount, d.ZipfExponent)
+	return max(d.sum(to, 2*d.ZipfExponent)-d.sum(from, 2*d.ZipfExponent), 0) / max(all*all, 1e-12)
 }
 
 // back paces the return: a cold cache is pushed to no more than a part of what pushes it over, and its seats go back as it
--- a/decide/site/plan_test.go
+++ b/decide/site/plan_test.go
@@ -8,7 +8,7 @@
 
 // three sites, nine caches, six proxies; the origin in the first.
 func three() *Deployment {
-	d := &Deployment{Fetches: 400, MissWork: 0.125, Hits: 0.9, Keys: 20000, Zipf: 1.05, Flat: 8, Full: 0.9,
+	d := &Deployment{Fetches: 400, MissWork: 0.125, Hits: 0.9, KeyCount: 20000, ZipfExponent: 1.05, ZipfOffset: 8, Full: 0.9,
 		Terms:      Terms{ColdFrom: 0.3, WarmUp: 8, FallMultiple: 3, TipAfter: 3},
 		Categories: []Category{{Name: "read", Share: 0.7, Benefit: 5, Work: 0.01}, {Name: "check", Share: 0.3, Benefit: 2, Work: 0.006, Beyond: 0.5, Discount: 0.1}}}
 	for i, name := range []string{"a", "b", "c"} {
@@ -89,7 +89,7 @@
 
 func TestCheckNamesWhatIsWrong(t *testing.T) {
 	for field, change := range map[string]func(*Deployment){
-		"sites": func(d *Deployment) { d.Sites = nil }, "hits": func(d *Deployment) { d.Hits = 2 }, "keys.count": func(d *Deployment) { d.Keys = math.NaN() },
+		"sites": func(d *Deployment) { d.Sites = nil }, "hits": func(d *Deployment) { d.Hits = 2 }, "keys.count": func(d *Deployment) { d.KeyCount = math.NaN() },
 		"share of read": func(d *Deployment) { d.Categories[0].Share = -1 }, "weight of a cache": func(d *Deployment) { d.Caches[3].Weight = 0 },
 		"the categories' shares": func(d *Deployment) { d.Categories[1].Share = 0.5 }, "origin.site": func(d *Deployment) { d.Origin = 3 },
 	} {
--- a/internal/caches/caches.go
+++ b/internal/caches/caches.go
@@ -242,7 +242,7 @@
 // report finds how long ops take in a load report; one that can't be read, or says what can't be, is garbled.
 func report(text, field string) (pace policy.Time, garbled bool) {
 	if ms, ok := value(text, field); ok {
-		pace = settings.Pace(ms)
+		pace = settings.ReportedLatency(ms)
 	}
 	return pace, pace == 0 && field != "" && strings.Contains(text, "=")
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -123,7 +123,7 @@
 	watch := discovery.New(c.Discovery, names, s.Policy.AskList, log)
 	watch.OnUpdate = e.UpdateList
 	watch.OriginKind = s.Policy.OriginKind
-	watch.Guard = roster.Guard[time.Duration]{MaxMissingShare: said.List.Doubt, ConfirmAfter: said.List.Confirm.D()}
+	watch.Guard = roster.Guard[time.Duration]{MaxMissingShare: said.List.Doubt, ConfirmAfter: said.List.Confirm.Duration()}
 	known, err := watch.LoadKnown(c.Known)
 	if err != nil {
 		return fmt.Errorf("known: %w", err)
@@ -223,7 +223,7 @@
 		break
 	}
 	log.Info().Msg("stopping")
-	last := time.AfterFunc(said.Stop.Within.D()+said.Stop.Close.D()+lastResort, stuck)
+	last := time.AfterFunc(said.Stop.Within.Duration()+said.Stop.Close.Duration()+lastResort, stuck)
 	defer last.Stop()
 	if left := shifts.end(further(ctx, signals, log)); left > 0 {
 		log.Error().Int("connections", left).Msg("stopped with clients still connected")
--- a/internal/daemon/keeper.go
+++ b/internal/daemon/keeper.go
@@ -25,10 +25,10 @@
 }
 
 func newKeeper(log zerolog.Logger, o *operators.File, name, listen string, s settings.Settings) *keeper {
-	k := &keeper{log: log, every: o.State.Every.D()}
+	k := &keeper{log: log, every: o.State.Every.Duration()}
 	if o.State.Dir != "" {
-		k.shots = state.OpenSnapshotFile(o.State.Dir, name, listen, s.Print())
-		k.shots.MaxAge, k.shots.HalfLife = o.State.Oldest.D(), o.State.HalfLife.D()
+		k.shots = state.OpenSnapshotFile(o.State.Dir, name, listen, s.Fingerprint())
+		k.shots.MaxAge, k.shots.HalfLife = o.State.Oldest.Duration(), o.State.HalfLife.Duration()
 		k.shots.KeyWindow = time.Duration(s.Policy.TipAfter) * 200 * time.Microsecond // two windows, as the module keeps keys
 	}
 	return k
@@ -53,7 +53,7 @@
 	if k.shots != nil {
 		k.mu.Lock()
 		defer k.mu.Unlock()
-		k.shots.SetSettings(s.Print())
+		k.shots.SetSettings(s.Fingerprint())
 	}
 }
 
--- a/internal/daemon/shifts.go
+++ b/internal/daemon/shifts.go
@@ -62,7 +62,7 @@
 
 func newShifts(log zerolog.Logger, store *state.Store, o *operators.File) *shifts {
 	plan := lifecycle.Schedule{ListenFor: tenths(stillComing), ListenForWithSuccessor: tenths(overTo), AcceptCommandsFor: tenths(lastCommand), CloseInformedAfter: tenths(leaving),
-		AnswerOpenAfter: tenths(o.Stop.Within.D()), TTLMargin: tenths(lastAnswer), FlushTimeout: tenths(o.Stop.Close.D()), IdleCloseSpread: tenths(o.Stop.Spread.D())}
+		AnswerOpenAfter: tenths(o.Stop.Within.Duration()), TTLMargin: tenths(lastAnswer), FlushTimeout: tenths(o.Stop.Close.Duration()), IdleCloseSpread: tenths(o.Stop.Spread.Duration())}
 	return &shifts{log: log, born: time.Now(), life: lifecycle.Machine{Schedule: plan}, store: store}
 }
 
@@ -162,11 +162,11 @@
 // retuned tells that other settings are in force.
 func (s *shifts) retuned(now settings.Settings) {
 	s.mu.Lock()
-	s.life.SetMaxTTL(tenths(now.Longest()))
+	s.life.SetMaxTTL(tenths(now.MaxTTL()))
 	s.mu.Unlock()
 	s.file.Lock()
 	defer s.file.Unlock()
-	s.print = now.Print()
+	s.print = now.Fingerprint()
 }
 
 func (s *shifts) serves() bool {
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -68,7 +68,7 @@
 	servers map[uint32]*server
 	out     map[string]bool // caches out by an operator's word
 	back    map[string]policy.Time
-	sites   map[int]site.Hand[policy.Time] // operators' words on whole zones
+	sites   map[int]site.Rollout[policy.Time] // operators' words on whole zones
 	turning bool                           // some caches have their turn ahead of them
 	left    map[string]policy.Time         // caches that have gone, while the list does not name them: when they had started
 }
--- a/internal/engine/out.go
+++ b/internal/engine/out.go
@@ -200,11 +200,11 @@
 				continue
 			}
 			known = known || m.Zone == zone
-			left = left || m.Zone != zone && m.State == policy.Ready && !m.Excluded && !e.sites[m.Zone].Out
+			left = left || m.Zone != zone && m.State == policy.Ready && !m.Excluded && !e.sites[m.Zone].Excluded
 		}
-		if _, told := e.sites[zone]; !told && (!known || !h.Out) { // none that nobody took out is called back
+		if _, told := e.sites[zone]; !told && (!known || !h.Excluded) { // none that nobody took out is called back
 			return ErrUnknown
-		} else if h.Out && !left {
+		} else if h.Excluded && !left {
 			return ErrLastCaches
 		}
 		e.sites[zone] = h
@@ -230,10 +230,10 @@
 }
 
 // hands are words in the engine's time.
-func (e *Engine) hands(all map[int]SiteOverride) map[int]site.Hand[policy.Time] {
-	hands := map[int]site.Hand[policy.Time]{}
+func (e *Engine) hands(all map[int]SiteOverride) map[int]site.Rollout[policy.Time] {
+	hands := map[int]site.Rollout[policy.Time]{}
 	for zone, w := range all {
-		hands[zone] = site.Hand[policy.Time]{Out: w.Out, At: e.offset + policy.Time(w.At.Sub(e.origin)/unit), Over: policy.Time(w.Over / unit)}
+		hands[zone] = site.Rollout[policy.Time]{Excluded: w.Out, StartedAt: e.offset + policy.Time(w.At.Sub(e.origin)/unit), Duration: policy.Time(w.Over / unit)}
 	}
 	return hands
 }
@@ -248,7 +248,7 @@
 		}
 	}
 	for _, h := range e.sites {
-		if !h.Followed(e.now) && !e.turning {
+		if !h.Done(e.now) && !e.turning {
 			e.turning = true
 			e.timers.set(e.now+turnEvery, func() {
 				e.turning = false
@@ -261,7 +261,7 @@
 // handed tells whether a cache is out with its site.
 func (e *Engine) handed(m *Member) bool {
 	h, told := e.sites[m.Zone]
-	return told && m.Kind != e.Settings.OriginKind && h.Holds(m.ID, e.now)
+	return told && m.Kind != e.Settings.OriginKind && h.IsExcluded(m.ID, e.now)
 }
 
 // follow has a cache be out, or in use again, as operators have said of it or of its site.
--- a/internal/operators/operators.go
+++ b/internal/operators/operators.go
@@ -36,8 +36,8 @@
 // Span is a span of time as it is written, with its unit; a File that was read holds none that is wrong.
 type Span string
 
-// D is the span as Go has it.
-func (s Span) D() time.Duration {
+// Duration is the span as Go has it.
+func (s Span) Duration() time.Duration {
 	d, _ := time.ParseDuration(string(s))
 	return d
 }
@@ -82,7 +82,7 @@
 	}{
 		{"stop.within", f.Stop.Within, time.Second, time.Hour},
 		{"stop.close", f.Stop.Close, 50 * time.Millisecond, time.Minute},
-		{"stop.spread", f.Stop.Spread, 0, f.Stop.Within.D()},
+		{"stop.spread", f.Stop.Spread, 0, f.Stop.Within.Duration()},
 		{"state.every", f.State.Every, 100 * time.Millisecond, time.Hour},
 		{"state.oldest", f.State.Oldest, 100 * time.Millisecond, 24 * time.Hour},
 		{"state.half_life", f.State.HalfLife, 100 * time.Millisecond, 24 * time.Hour},
--- a/internal/operators/operators_test.go
+++ b/internal/operators/operators_test.go
@@ -8,11 +8,11 @@
 
 func TestDecode(t *testing.T) {
 	f, err := Decode("f", []byte("[state]\ndir = \"/var/lib/x\"\nevery = \"2s\"\n[stop]\nspread = \"3s\"\n"))
-	if err != nil || f.State.Dir != "/var/lib/x" || f.State.Every.D() != 2*time.Second || f.Stop.Spread.D() != 3*time.Second ||
-		f.State.Oldest.D() != time.Minute {
+	if err != nil || f.State.Dir != "/var/lib/x" || f.State.Every.Duration() != 2*time.Second || f.Stop.Spread.Duration() != 3*time.Second ||
+		f.State.Oldest.Duration() != time.Minute {
 		t.Errorf("%+v, %v", f, err)
 	}
-	if f, err := Read(""); err != nil || f.State.Dir != "" || f.List.Doubt != 0 || f.Stop.Spread.D() != 0 {
+	if f, err := Read(""); err != nil || f.State.Dir != "" || f.List.Doubt != 0 || f.Stop.Spread.Duration() != 0 {
 		t.Errorf("on without a file: %+v, %v", f, err)
 	}
 	if _, err := Read("../../deploy/minttray.toml"); err != nil {
--- a/internal/plan/plan.go
+++ b/internal/plan/plan.go
@@ -89,7 +89,7 @@
 		return d.Seconds()
 	}
 	sites := map[string]int{}
-	d := &site.Deployment{Full: f.Full, Keys: f.Keys.Count, Zipf: f.Keys.Zipf, Flat: f.Keys.Flat, Hits: f.Keys.Hits, Fetches: f.Origin.Fetches,
+	d := &site.Deployment{Full: f.Full, KeyCount: f.Keys.Count, ZipfExponent: f.Keys.Zipf, ZipfOffset: f.Keys.Flat, Hits: f.Keys.Hits, Fetches: f.Origin.Fetches,
 		MissWork: f.Origin.MissWork, Terms: site.Terms{ColdFrom: f.Cold.From, WarmUp: span("cold.warm_up", f.Cold.WarmUp),
 			FallMultiple: f.Cold.Multiple, TipAfter: span("cold.tip_after", f.Cold.TipAfter)}}
 	for i, s := range f.Site {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -181,8 +181,8 @@
 // paces are the names under which deployments report how long a cache's ops take lately, in milliseconds.
 var paces = []string{"svc_ms", "latency_ms"}
 
-// Pace turns a report's milliseconds into the module's time; what can't be so is 0, as if nothing had been said.
-func Pace(ms float64) policy.Time {
+// ReportedLatency turns a report's milliseconds into the module's time; what can't be so is 0, as if nothing had been said.
+func ReportedLatency(ms float64) policy.Time {
 	if !(ms > 0 && ms < 1e6) {
 		return 0
 	}
@@ -198,8 +198,8 @@
 
 func span(us uint64) time.Duration { return time.Duration(min(us, longestSpan)) * time.Microsecond }
 
-// Longest is the longest time that an op may be open, by the TTLs of the categories that are asked for.
-func (s Settings) Longest() (longest time.Duration) {
+// MaxTTL is the longest time that an op may be open, by the TTLs of the categories that are asked for.
+func (s Settings) MaxTTL() (longest time.Duration) {
 	for _, c := range s.Policy.Categories {
 		if !c.Dropped {
 			longest = max(longest, time.Duration(c.TTL)*100*time.Microsecond)
@@ -208,8 +208,8 @@
 	return longest
 }
 
-// Print is a short text that differs wherever two deployments' settings do.
-func (s Settings) Print() string {
+// Fingerprint is a short text that differs wherever two deployments' settings do.
+func (s Settings) Fingerprint() string {
 	h := fnv.New64a()
 	fmt.Fprintf(h, "%+v", s)
 	return fmt.Sprintf("%016x", h.Sum64())
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -111,7 +111,7 @@
 	if most := policy.Time(1 << 40); least <= 10000 || p.Categories[0].TTL > most {
 		t.Errorf("%+v", p)
 	}
-	if s.Longest() <= time.Second || s.ConnectTimeout <= time.Second || s.IdleServer <= time.Second {
-		t.Errorf("%v, %v, %v", s.Longest(), s.ConnectTimeout, s.IdleServer)
+	if s.MaxTTL() <= time.Second || s.ConnectTimeout <= time.Second || s.IdleServer <= time.Second {
+		t.Errorf("%v, %v, %v", s.MaxTTL(), s.ConnectTimeout, s.IdleServer)
 	}
 }
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -107,7 +107,7 @@
 	if at < 0 || len(values) < 4*(at+1) {
 		return 0
 	}
-	return settings.Pace(float64(math.Float32frombits(binary.LittleEndian.Uint32(values[4*at:]))))
+	return settings.ReportedLatency(float64(math.Float32frombits(binary.LittleEndian.Uint32(values[4*at:]))))
 }
 
 // figure reads one value of a load report; a missing, negative or endless one tells nothing.
--- a/lab/run/forecast.go
+++ b/lab/run/forecast.go
@@ -24,8 +24,8 @@
 	}
 	room := float64(int(x.Caches.MemoryMB * (1 << 20) / float64(size)))
 	const flat = 8 // of the lab's draw
-	d := site.Deployment{Keys: float64(x.Keys.Count), Zipf: x.Keys.Zipf, Flat: flat}
-	kept := d.Mass(room * float64(x.Caches.Count))
+	d := site.Deployment{KeyCount: float64(x.Keys.Count), ZipfExponent: x.Keys.Zipf, ZipfOffset: flat}
+	kept := d.TopKeysShare(room * float64(x.Caches.Count))
 	for _, c := range x.Category {
 		if c.Write { // each voids the copies of its key, which the next read misses
 			kept *= 1 - c.Share
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -129,7 +129,7 @@
 	asking         fleet.Backoff[Time] // for the list
 	all            cache               // what all caches did, taken together
 	gate           shortage.Gate       // shut as far as the fleet is short as a whole
-	ladder         site.Live           // which ops are refused first then
+	ladder         site.LoadShedder           // which ops are refused first then
 	back           pace.Recovery           // to the pace that the origin took before it was short
 	zones          map[int]*zone
 	sites          fleet.SiteHealth[Time] // lost, or cut off
@@ -304,7 +304,7 @@
 	if t.tokens--; t.tokens < 0 {
 		t.tokens, o.beyond = t.tokens+1, 1-b.BeyondBenefit
 	}
-	b.ladder.Asked(category, o.beyond > 0, cat.Benefit*(1-o.beyond))
+	b.ladder.Observe(category, o.beyond > 0, cat.Benefit*(1-o.beyond))
 	// Tries beyond the budget, and ops that hardly any answer reaches in time, take only what others leave.
 	over, chance := again && !t.again.TryWithdraw(), 1.0
 	if b.all.span.HasEnoughSamples() {
@@ -324,7 +324,7 @@
 	} else if over && b.strain > calm {
 		b.giveUp(o, PastBudget)
 	} else if share := b.gate.AdmittedShare(); share < 1 &&
-		b.rnd.Float64() > b.ladder.Pass(category, o.beyond > 0, share) {
+		b.rnd.Float64() > b.ladder.AdmitShare(category, o.beyond > 0, share) {
 		b.gate.ObserveRefusal()
 		b.giveUp(o, FleetShort)
 	} else if b.Aside && write {
