--- a/internal/caches/caches.go
+++ b/internal/caches/caches.go
@@ -1,4 +1,4 @@
-// Package caches holds the caches' wire: RESP2 commands out, arrays and error lines back.
+// Package caches implements the wire protocol of the caches: RESP2 commands as requests, arrays and error lines as responses.
 package caches
 
 import (
@@ -21,15 +21,16 @@
 	"minttray/policy"
 )
 
-// Protocol is RESP2 as caches speak it.
+// Protocol is the RESP2 dialect of the caches. It names the fields of their load reports; an empty name means that the
+// reports have no such field.
 type Protocol struct {
-	// Names of the load report's fields: how long ops take, in milliseconds; ops that wait; ops done in a second.
-	// Empty: it has none.
-	LatencyField, WaitingField, RateField string
+	LatencyField string // time that an operation takes, in milliseconds
+	WaitingField string // number of operations waiting
+	RateField    string // operations completed per second
 }
 
-// Append writes the command as the client sent it, but for the deadline, which is the attempt's own.
-func (Protocol) Append(b []byte, r *engine.Request, passed deadline.AttemptDeadline) (out []byte, gap int) {
+// AppendRequest appends the command as the client sent it, except for the deadline, which is the attempt's own.
+func (Protocol) AppendRequest(b []byte, r *engine.Request, passed deadline.AttemptDeadline) (encoded []byte, valueOffset int) {
 	if r.Probe {
 		return redcon.AppendBulkString(redcon.AppendBulkString(redcon.AppendArray(b, 2), "INFO"), "load"), 0
 	}
@@ -56,95 +57,97 @@
 	return b, 0
 }
 
-// Answers reads one connection's answers.
-func (p Protocol) Answers(r io.Reader) pool.Answers { return &answers{Protocol: p, r: r} }
+// NewResponseReader returns a reader for the responses of one connection.
+func (p Protocol) NewResponseReader(r io.Reader) pool.ResponseReader {
+	return &responseReader{Protocol: p, source: r}
+}
 
-type answers struct {
+type responseReader struct {
 	Protocol
-	r    io.Reader
-	buf  buffer.Buffer
-	size int // of a value that is announced
+	source    io.Reader
+	buf       buffer.Buffer
+	valueSize int // size in bytes of the value that ReadResponse announced for streaming
 }
 
-func (a *answers) Wait() error {
-	if len(a.buf.Bytes()) > 0 {
+func (rr *responseReader) Wait() error {
+	if len(rr.buf.Bytes()) > 0 {
 		return nil
 	}
-	return a.buf.Fill(a.r)
+	return rr.buf.Fill(rr.source)
 }
 
-func (a *answers) Rest() int { return len(a.buf.Bytes()) }
+func (rr *responseReader) Buffered() int { return len(rr.buf.Bytes()) }
 
-func (a *answers) Read(r *engine.Request) (engine.Result, bool, error) {
+func (rr *responseReader) ReadResponse(r *engine.Request) (engine.Result, bool, error) {
 	for {
 		var n int
 		var res engine.Result
 		var err error
 		if r.Probe {
-			n, res, err = a.told(a.buf.Bytes())
+			n, res, err = rr.parseProbe(rr.buf.Bytes())
 		} else {
-			n, res, err = next(a.buf.Bytes(), a.LatencyField)
+			n, res, err = parseResponse(rr.buf.Bytes(), rr.LatencyField)
 		}
-		var long *resp.BulkTooLongError
-		if errors.As(err, &long) && !r.Probe && long.ArrayLength == form.MaxElements && long.Index == 0 && long.Length > 0 &&
-			long.Length <= engine.MaxValueBytes {
-			a.buf.Discard(long.Offset)
-			a.size = long.Length
-			return engine.Result{Outcome: policy.Acked, Body: engine.Body{Size: long.Length}}, true, nil
+		var tooLong *resp.BulkTooLongError
+		if errors.As(err, &tooLong) && !r.Probe && tooLong.ArrayLength == responseForm.MaxElements && tooLong.Index == 0 && tooLong.Length > 0 &&
+			tooLong.Length <= engine.MaxValueBytes {
+			rr.buf.Discard(tooLong.Offset)
+			rr.valueSize = tooLong.Length
+			return engine.Result{Outcome: policy.Acked, Body: engine.Body{Size: tooLong.Length}}, true, nil
 		}
 		if err != nil {
 			return engine.Result{}, false, err
 		}
 		if n > 0 {
-			a.buf.Discard(n)
+			rr.buf.Discard(n)
 			return res, true, nil
 		}
-		if err := a.buf.Fill(a.r); errors.Is(err, buffer.ErrFull) {
-			return engine.Result{}, false, spoilt(err)
+		if err := rr.buf.Fill(rr.source); errors.Is(err, buffer.ErrFull) {
+			return engine.Result{}, false, invalidResponse(err)
 		} else if err != nil {
 			return engine.Result{}, false, err
 		}
 	}
 }
 
-// Pass hands on an announced value. Only when its frame has ended where its length says does w hear of the end.
-func (a *answers) Pass(w *io.PipeWriter) (keep bool, err error) {
-	r := pool.Patiently(a.r)
-	for left := a.size; left > 0; {
-		if len(a.buf.Bytes()) == 0 {
-			if err := a.buf.Fill(r); err != nil {
+// StreamValue writes an announced value to w. It closes w without an error only if the value ends where its length says.
+func (rr *responseReader) StreamValue(w *io.PipeWriter) (keep bool, err error) {
+	r := pool.WithReadTimeout(rr.source)
+	for remaining := rr.valueSize; remaining > 0; {
+		if len(rr.buf.Bytes()) == 0 {
+			if err := rr.buf.Fill(r); err != nil {
 				return false, err
 			}
 		}
-		part := a.buf.Bytes()
-		part = part[:min(len(part), left)]
+		part := rr.buf.Bytes()
+		part = part[:min(len(part), remaining)]
 		if _, err := w.Write(part); err != nil {
 			return false, err
 		}
-		left -= len(part)
-		a.buf.Discard(len(part))
+		remaining -= len(part)
+		rr.buf.Discard(len(part))
 	}
 	ended := false
 	for {
-		b := a.buf.Bytes()
+		b := rr.buf.Bytes()
 		if len(b) >= 1 && b[0] != '\r' || len(b) >= 2 && b[1] != '\n' {
-			return false, spoilt("a value that does not end where its length says")
+			return false, invalidResponse(fmt.Sprintf("value does not end after the announced %d bytes", rr.valueSize))
 		}
 		if len(b) >= 2 && !ended {
 			ended = true
-			w.Close() // the value is whole, whatever becomes of the rest
+			w.Close() // the value is complete, whatever happens to the rest of the response
 		}
 		if len(b) >= 2 {
-			n, err := tail.CheckArray(append([]byte("*2"), b...))
+			n, err := trailerForm.CheckArray(append([]byte("*2"), b...))
 			if err != nil {
-				return false, nil // of no further use
+				return false, nil // the connection can't be reused
 			}
 			if n > 0 {
-				a.buf.Discard(n - len("*2"))
+				rr.buf.Discard(n - len("*2"))
 				return true, nil
 			}
 		}
-		if err := a.buf.Fill(r); err != nil {
+		if err := rr.buf.Fill(r); err != nil {
 			if ended {
 				err = nil
 			}
@@ -153,31 +156,32 @@
 	}
 }
 
-// tail is what follows a value: how it went, and the load report.
-var tail = resp.Limits{MaxElements: 2, MaxBulkLength: form.MaxBulkLength, AllowNull: true}
+// maxLineBytes limits an error line, which includes a load report, and the report that answers a probe.
+const maxLineBytes = 512
 
-const longestLine = 512 // of an error, with its load report
+// responseForm limits a response: an array of the value, the result word and the load report, each of which may be null.
+var responseForm = resp.Limits{MaxElements: 3, MaxBulkLength: engine.MaxContiguousBytes, AllowNull: true}
 
-// An answer is an array of the value, how it went and the load report, each of which may be null.
-var form = resp.Limits{MaxElements: 3, MaxBulkLength: engine.MaxContiguousBytes, AllowNull: true}
+// trailerForm limits what follows a streamed value: the result word and the load report.
+var trailerForm = resp.Limits{MaxElements: 2, MaxBulkLength: responseForm.MaxBulkLength, AllowNull: true}
 
-func spoilt(why any) error {
-	if long, ok := why.(*resp.BulkTooLongError); ok {
-		return fmt.Errorf("%w: %w", pool.ErrSpoilt, long)
+func invalidResponse(reason any) error {
+	if tooLong, ok := reason.(*resp.BulkTooLongError); ok {
+		return fmt.Errorf("%w: %w", pool.ErrInvalidResponse, tooLong)
 	}
-	return fmt.Errorf("%w: %v", pool.ErrSpoilt, why)
+	return fmt.Errorf("%w: %v", pool.ErrInvalidResponse, reason)
 }
 
-// next finds a whole answer at the start of b; n is 0 while some of it is missing. Only what is in the form agreed, to
-// the letter, is one: a spoilt answer must neither be served nor be taken for the proof that nothing has run, and
-// one that can't become whole must not be waited for. The load report alone may be anything: one that can't be
-// read says nothing, and the answer stands.
-func next(b []byte, pace string) (n int, res engine.Result, err error) {
+// parseResponse parses the complete response at the start of b; n is 0 if it is incomplete. It accepts exactly the agreed format: an invalid
+// response must neither be served nor be taken as proof that the request was not executed, and one that can't become
+// complete must not be waited for. Only the load report may have any content: an unreadable one is ignored, and the response
+// remains valid.
+func parseResponse(b []byte, latencyField string) (n int, res engine.Result, err error) {
 	if b[0] == redcon.Error {
-		return line(b, pace)
+		return parseErrorLine(b, latencyField)
 	}
-	if n, err = form.CheckArray(b); err != nil {
-		return 0, res, spoilt(err)
+	if n, err = responseForm.CheckArray(b); err != nil {
+		return 0, res, invalidResponse(err)
 	}
 	if n == 0 {
 		return 0, res, nil
@@ -188,18 +192,18 @@
 		parts = append(parts, part)
 		return true
 	})
-	if len(parts) != form.MaxElements {
-		return 0, res, spoilt("an array of another length")
+	if len(parts) != responseForm.MaxElements {
+		return 0, res, invalidResponse(fmt.Sprintf("array of %d elements, want %d", len(parts), responseForm.MaxElements))
 	}
-	switch how := string(parts[1].Data); {
-	case null(parts[1]), how == "hit":
-	case how == "miss", how == "pending":
+	switch result := string(parts[1].Data); {
+	case isNull(parts[1]), result == "hit":
+	case result == "miss", result == "pending":
 		res.Missed = true
 	default:
-		return 0, res, spoilt("no word for how it went")
+		return 0, res, invalidResponse(fmt.Sprintf("unknown result word %q", result))
 	}
-	res.ReportedLatency, res.ReportInvalid = report(string(parts[2].Data), pace)
-	if null(parts[0]) {
+	res.ReportedLatency, res.ReportInvalid = parseLatency(string(parts[2].Data), latencyField)
+	if isNull(parts[0]) {
 		res.Outcome = policy.Miss
 	} else {
 		res.Outcome, res.Value = policy.Acked, bytes.Clone(parts[0].Data)
@@ -207,85 +211,86 @@
 	return n, res, nil
 }
 
-// told finds a probe's whole answer at the start of b, the load report or an error line. A report that lacks what was
-// asked for, or says it in no figure that can be, tells nothing.
-func (p Protocol) told(b []byte) (n int, res engine.Result, err error) {
+// parseProbe parses the complete response to a probe at the start of b, a load report or an error line; n is 0 if it is incomplete. A
+// report that lacks a requested field, or holds an invalid number, results in errIncompleteReport.
+func (p Protocol) parseProbe(b []byte) (n int, res engine.Result, err error) {
 	if b[0] == redcon.Error {
-		if n, res, err = line(b, ""); n > 0 && res.Outcome == policy.Rejected {
-			res = engine.Result{Outcome: policy.Errored, Err: errUntold}
+		if n, res, err = parseErrorLine(b, ""); n > 0 && res.Outcome == policy.Rejected {
+			res = engine.Result{Outcome: policy.Errored, Err: errIncompleteReport}
 		}
 		return n, res, err
 	}
-	if n, err = probed.CheckBulk(b); n == 0 || err != nil {
+	if n, err = probeForm.CheckBulk(b); n == 0 || err != nil {
 		if err != nil {
-			err = spoilt(err)
+			err = invalidResponse(err)
 		}
 		return 0, res, err
 	}
 	_, reply := redcon.ReadNextRESP(b[:n])
-	var waiting, rate bool
-	res.QueueLength, waiting = value(string(reply.Data), p.WaitingField)
-	res.OpsPerSecond, rate = value(string(reply.Data), p.RateField)
-	if !waiting || !rate {
-		res.Outcome, res.Err = policy.Errored, errUntold
+	var waitingOK, rateOK bool
+	res.QueueLength, waitingOK = parseField(string(reply.Data), p.WaitingField)
+	res.OpsPerSecond, rateOK = parseField(string(reply.Data), p.RateField)
+	if !waitingOK || !rateOK {
+		res.Outcome, res.Err = policy.Errored, errIncompleteReport
 	}
 	return n, res, nil
 }
 
 var (
-	probed    = resp.Limits{MaxElements: 1, MaxBulkLength: longestLine}
-	errUntold = errors.New("a probe that told nothing")
+	probeForm           = resp.Limits{MaxElements: 1, MaxBulkLength: maxLineBytes}
+	errIncompleteReport = errors.New("probe response holds no valid queue length and rate")
 )
 
-func null(part redcon.RESP) bool { return part.Raw[1] == '-' } // $-1
+func isNull(part redcon.RESP) bool { return part.Raw[1] == '-' } // $-1
 
-// report finds how long ops take in a load report; one that can't be read, or says what can't be, is garbled.
-func report(text, field string) (pace policy.Time, garbled bool) {
-	if ms, ok := value(text, field); ok {
-		pace = settings.Pace(ms)
+// parseLatency returns the operation latency in a load report. A report that can't be parsed, or holds no positive latency, is
+// invalid.
+func parseLatency(report, field string) (latency policy.Time, invalid bool) {
+	if ms, ok := parseField(report, field); ok {
+		latency = settings.Pace(ms)
 	}
-	return pace, pace == 0 && field != "" && strings.Contains(text, "=")
+	return latency, latency == 0 && field != "" && strings.Contains(report, "=")
 }
 
-// value finds one field of a load report, which caches write as name=value,name=value. One that can't be read, in which
-// the field stands twice, or no figure from 0 up, says nothing.
-func value(text, field string) (found float64, ok bool) {
-	if field == "" || text == "" {
+// parseField returns one field of a load report, which caches write as name=value,name=value. ok is false if the report can't be
+// parsed, holds the field twice, or the value is negative or not finite.
+func parseField(report, field string) (found float64, ok bool) {
+	if field == "" || report == "" {
 		return 0, false
 	}
-	for _, part := range strings.Split(text, ",") {
-		name, word, pair := strings.Cut(part, "=")
-		v, err := strconv.ParseFloat(word, 64)
-		if !pair || err != nil || name == field && ok {
+	for _, pair := range strings.Split(report, ",") {
+		name, text, hasValue := strings.Cut(pair, "=")
+		number, err := strconv.ParseFloat(text, 64)
+		if !hasValue || err != nil || name == field && ok {
 			return 0, false
 		}
 		if name == field {
-			found, ok = v, true
+			found, ok = number, true
 		}
 	}
 	return found, ok && found >= 0 && !math.IsInf(found, 0)
 }
 
-// line reads an error line.
-func line(b []byte, pace string) (n int, res engine.Result, err error) {
+// parseErrorLine parses the error line at the start of b; n is 0 if it is incomplete.
+func parseErrorLine(b []byte, latencyField string) (n int, res engine.Result, err error) {
 	end := bytes.IndexAny(b, "\r\n")
 	switch {
-	case end < 0 && len(b) > longestLine, end > longestLine, end >= 0 && b[end] == '\n':
-		return 0, res, spoilt("a line without an end")
+	case end < 0 && len(b) > maxLineBytes, end > maxLineBytes, end >= 0 && b[end] == '\n':
+		return 0, res, invalidResponse(fmt.Sprintf("error line has no CR within %d bytes", maxLineBytes))
 	case end < 0 || end+1 == len(b):
 		return 0, res, nil
 	case b[end+1] != '\n':
-		return 0, res, spoilt("a broken line")
+		return 0, res, invalidResponse("error line has no LF after CR")
 	}
-	word, rest, _ := strings.Cut(string(b[1:end]), " ")
-	res.ReportedLatency, res.ReportInvalid = report(rest[strings.LastIndexByte(rest, ' ')+1:], pace)
-	switch word {
+	code, rest, _ := strings.Cut(string(b[1:end]), " ")
+	res.ReportedLatency, res.ReportInvalid = parseLatency(rest[strings.LastIndexByte(rest, ' ')+1:], latencyField)
+	switch code {
 	case "BUSY":
 		res.Outcome = policy.Rejected
 	case "ERR", "SYNTAX", "NOPERM":
 		res.Outcome, res.Err = policy.Errored, errors.New(strings.ToValidUTF8(string(b[1:end]), "?"))
 	default:
-		return 0, res, spoilt("an unknown error")
+		return 0, res, invalidResponse(fmt.Sprintf("unknown error code %q", code))
 	}
 	return end + 2, res, nil
 }
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -1,5 +1,5 @@
-// Package control answers the operators' calls, HTTP/1.1 and one to a connection. It decides nothing: what a call changes
-// is the business of those that it is handed to.
+// Package control serves the operators' HTTP/1.1 control port, with one call per connection. It makes no decisions: the handlers carry
+// out the changes.
 package control
 
 import (
@@ -22,41 +22,45 @@
 )
 
 const (
-	mostHalf  = 32              // connections without a whole call
-	wholeCall = 5 * time.Second // for a call to come
-	longestID = 1 << 10
-	slowest   = 2 * time.Second // for a caller to read its answer
+	maxPendingConns = 32              // connections that have not sent a complete call
+	readTimeout     = 5 * time.Second // for a call to arrive completely
+	maxBodyBytes    = 1 << 10
+	responseTimeout = 2 * time.Second // for the caller to read its response
 )
 
-// ErrUnknownID is the answer to an id that nobody has, ErrTimeout to a call that could not be followed in time, ErrEnding to one
-// that this process can't follow any more.
+// Errors of handlers. Their texts are sent to the caller.
 var (
-	ErrEnding  = lifecycle.ErrEnding
-	ErrUnknownID = errors.New("no cache has this id")
-	ErrTimeout    = errors.New("not done in time; what it has changed is not known")
-	ErrLastCache    = errors.New("no cache in use would be left")
+	ErrEnding    = lifecycle.ErrEnding                                              // the process is shutting down and can't carry out the call
+	ErrUnknownID = errors.New("no cache has this id")                               // of a cache or a site
+	ErrTimeout   = errors.New("not done in time; what it has changed is not known") // the call may have been carried out in part
+	ErrLastCache = errors.New("no cache in use would be left")                      // the call would detach the last caches in use
 )
 
-// Handlers is what can be called.
+// Handlers carry out the calls.
 type Handlers struct {
-	Ready    func() bool
-	WriteMetrics  func(io.Writer)
-	DetachCache      func(id string, out bool) error // a cache
-	SetLameDuck func(away bool) error
-	DetachSite     func(name string, out bool, over time.Duration) error // all caches of a site, one after another over a span
+	// Ready reports whether the proxy accepts clients.
+	Ready func() bool
+	// WriteMetrics writes the metrics as text.
+	WriteMetrics func(io.Writer)
+	// DetachCache detaches the cache with the given id, or attaches it again if detach is false.
+	DetachCache func(id string, detach bool) error
+	// SetLameDuck turns clients away, or accepts them again.
+	SetLameDuck func(lameDuck bool) error
+	// DetachSite detaches all caches of a site one after another, spread over a span of time, or attaches them again.
+	DetachSite func(name string, detach bool, over time.Duration) error
 }
 
-// Server answers calls.
+// Server answers calls on the control port.
 type Server struct {
 	Handlers
 	Log zerolog.Logger
 
-	server *http.Server
-	mu     sync.Mutex
-	half   []net.Conn // without a whole call, the oldest first
+	mu      sync.Mutex
+	server  *http.Server
+	pending []net.Conn // connections that have not sent a complete call, oldest first
 }
 
-// Serve answers on l until Close.
+// Serve answers calls on l until Close.
 func (s *Server) Serve(l net.Listener) {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /_ready", func(w http.ResponseWriter, _ *http.Request) {
@@ -72,7 +76,7 @@
 		w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 		w.Write(text.Bytes())
 	})
-	for path, out := range map[string]bool{"detach": true, "attach": false} {
+	for path, detach := range map[string]bool{"detach": true, "attach": false} {
 		mux.HandleFunc("POST /_cache-nodes/"+path, func(w http.ResponseWriter, r *http.Request) {
 			body, _ := io.ReadAll(r.Body)
 			id := strings.TrimSpace(string(body))
@@ -80,10 +84,10 @@
 				http.Error(w, "the body holds no id", http.StatusBadRequest)
 				return
 			}
-			s.answer(w, path+" "+id, s.DetachCache(id, out))
+			s.writeResult(w, path+" "+id, s.DetachCache(id, detach))
 		})
 	}
-	for path, out := range map[string]bool{"detach": true, "attach": false} {
+	for path, detach := range map[string]bool{"detach": true, "attach": false} {
 		mux.HandleFunc("POST /_sites/"+path, func(w http.ResponseWriter, r *http.Request) {
 			body, _ := io.ReadAll(r.Body)
 			words := strings.Fields(string(body))
@@ -95,19 +99,19 @@
 				http.Error(w, "the body holds no site, or no span of at most an hour behind it, such as \"30s\"", http.StatusBadRequest)
 				return
 			}
-			s.answer(w, "site "+path+" "+words[0]+" "+over.String(), s.DetachSite(words[0], out, over))
+			s.writeResult(w, "site "+path+" "+words[0]+" "+over.String(), s.DetachSite(words[0], detach, over))
 		})
 	}
-	for path, away := range map[string]bool{"on": true, "off": false} {
+	for path, lameDuck := range map[string]bool{"on": true, "off": false} {
 		mux.HandleFunc("POST /_lameduck/"+path, func(w http.ResponseWriter, _ *http.Request) {
-			s.answer(w, "lameduck "+path, s.SetLameDuck(away))
+			s.writeResult(w, "lameduck "+path, s.SetLameDuck(lameDuck))
 		})
 	}
-	// Bodies are ids, or none: a call is whole, and taken for one, once its body is here.
-	call := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, longestID))
-		if c, ok := r.Context().Value(connKey{}).(net.Conn); ok {
-			s.whole(c)
+	// The connection stops being pending only when the body has arrived; bodies are short.
+	handler := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
+		if c, ok := r.Context().Value(connContextKey{}).(net.Conn); ok {
+			s.removePending(c)
 		}
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
@@ -116,9 +120,17 @@
 		r.Body = io.NopCloser(bytes.NewReader(body))
 		mux.ServeHTTP(w, r)
 	})
-	server := &http.Server{Handler: call, ReadTimeout: wholeCall, WriteTimeout: wholeCall + slowest, MaxHeaderBytes: 8 << 10,
-		ConnState:   s.state,
-		ConnContext: func(ctx context.Context, c net.Conn) context.Context { return context.WithValue(ctx, connKey{}, c) }, ErrorLog: log.New(io.Discard, "", 0)}
+	server := &http.Server{
+		Handler:        handler,
+		ReadTimeout:    readTimeout,
+		WriteTimeout:   readTimeout + responseTimeout,
+		MaxHeaderBytes: 8 << 10,
+		ConnState:      s.trackConn,
+		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
+			return context.WithValue(ctx, connContextKey{}, c)
+		},
+		ErrorLog: log.New(io.Discard, "", 0),
+	}
 	server.SetKeepAlivesEnabled(false)
 	s.mu.Lock()
 	s.server = server
@@ -126,12 +138,13 @@
 	server.Serve(l)
 }
 
-func (s *Server) answer(w http.ResponseWriter, what string, err error) {
+// writeResult logs a call and writes its result.
+func (s *Server) writeResult(w http.ResponseWriter, call string, err error) {
 	line := s.Log.Info()
 	if err != nil {
 		line = s.Log.Warn().Err(err)
 	}
-	line.Str("call", what).Msg("operator's call")
+	line.Str("call", call).Msg("control call")
 	switch {
 	case err == nil:
 		io.WriteString(w, "ok\n")
@@ -144,35 +157,37 @@
 	}
 }
 
-type connKey struct{}
+// connContextKey is the context key of a request's net.Conn.
+type connContextKey struct{}
 
-// state keeps those that hold a connection with no whole call from keeping others out: the oldest makes way.
-func (s *Server) state(c net.Conn, is http.ConnState) {
-	if is == http.StateClosed {
-		s.whole(c)
+// trackConn limits the connections that have not sent a complete call, so that they can't keep other callers out: it closes the oldest
+// one when there are too many.
+func (s *Server) trackConn(c net.Conn, state http.ConnState) {
+	if state == http.StateClosed {
+		s.removePending(c)
 		return
 	}
-	if is != http.StateNew {
+	if state != http.StateNew {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.half = append(s.half, c); len(s.half) > mostHalf {
-		s.half[0].Close()
-		s.half = s.half[1:]
+	if s.pending = append(s.pending, c); len(s.pending) > maxPendingConns {
+		s.pending[0].Close()
+		s.pending = s.pending[1:]
 	}
 }
 
-// whole takes a connection off those that owe a call: it has come, or never will.
-func (s *Server) whole(c net.Conn) {
+// removePending removes a connection whose call has arrived, or that is closed, from the pending ones.
+func (s *Server) removePending(c net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if i := slices.Index(s.half, c); i >= 0 {
-		s.half = slices.Delete(s.half, i, i+1)
+	if i := slices.Index(s.pending, c); i >= 0 {
+		s.pending = slices.Delete(s.pending, i, i+1)
 	}
 }
 
-// Close ends the listener and all calls.
+// Close closes the listener and all connections.
 func (s *Server) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -14,19 +14,21 @@
 	"github.com/rs/zerolog"
 )
 
-const patience = 10 * time.Second // bound of waits that end by an event; no verdict hangs on it
+// eventTimeout limits waits for an event; no assertion depends on its length.
+const eventTimeout = 10 * time.Second
 
-func serve(t *testing.T) (addr string, did *[]string, ready *atomic.Bool) {
+// serve starts a server. calls collects what its handlers were called with; ready is what it reports as readiness.
+func serve(t *testing.T) (addr string, calls *[]string, ready *atomic.Bool) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	did, ready = new([]string), new(atomic.Bool)
+	calls, ready = new([]string), new(atomic.Bool)
 	s := &Server{Log: zerolog.Nop(), Handlers: Handlers{
-		Ready:   ready.Load,
+		Ready:        ready.Load,
 		WriteMetrics: func(w io.Writer) { io.WriteString(w, "svc_in_flight 14\n") },
-		DetachCache: func(id string, out bool) error {
-			*did = append(*did, fmt.Sprint(id, " ", out))
+		DetachCache: func(id string, detach bool) error {
+			*calls = append(*calls, fmt.Sprint(id, " ", detach))
 			switch id {
 			case "nobody":
 				return ErrUnknownID
@@ -35,24 +37,24 @@
 			}
 			return nil
 		},
-		DetachSite: func(name string, out bool, over time.Duration) error {
-			*did = append(*did, fmt.Sprint("site ", name, " ", out, " ", over))
+		DetachSite: func(name string, detach bool, over time.Duration) error {
+			*calls = append(*calls, fmt.Sprint("site ", name, " ", detach, " ", over))
 			if name == "only" {
 				return ErrLastCache
 			}
 			return nil
 		},
-		SetLameDuck: func(away bool) error {
-			*did = append(*did, fmt.Sprint("away ", away))
+		SetLameDuck: func(lameDuck bool) error {
+			*calls = append(*calls, fmt.Sprint("away ", lameDuck))
 			return ErrEnding
 		},
 	}}
 	go s.Serve(l)
 	t.Cleanup(func() { s.Close(); l.Close() })
-	return l.Addr().String(), did, ready
+	return l.Addr().String(), calls, ready
 }
 
-// call sends a text and gives the answer's status and body.
+// call sends a request text on a new connection and returns the status and body of the response.
 func call(t *testing.T, addr, text string) (int, string) {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
@@ -60,7 +62,7 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(eventTimeout))
 	io.WriteString(c, text)
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
@@ -78,11 +80,11 @@
 }
 
 func TestCalls(t *testing.T) {
-	addr, did, ready := serve(t)
+	addr, calls, ready := serve(t)
 	for _, c := range []struct {
 		method, path, body string
 		status             int
-		did                string
+		handlerCall        string
 	}{
 		{"GET", "/_ready", "", 503, ""},
 		{"GET", "/_vars", "", 200, ""},
@@ -93,7 +95,7 @@
 		{"POST", "/_cache-nodes/attach", "nobody", 404, "nobody false"},
 		{"POST", "/_cache-nodes/detach", "slow", 503, "slow true"},
 		{"POST", "/_cache-nodes/detach", "", 400, ""},
-		{"POST", "/_cache-nodes/detach", string(make([]byte, longestID+1)), 400, ""},
+		{"POST", "/_cache-nodes/detach", string(make([]byte, maxBodyBytes+1)), 400, ""},
 		{"POST", "/_lameduck/on", "", 409, "away true"},
 		{"POST", "/_lameduck/off", "", 409, "away false"},
 		{"POST", "/_lameduck", "", 404, ""},
@@ -105,37 +107,37 @@
 		{"POST", "/_sites/detach", "b 2h", 400, ""},
 		{"GET", "/_sites/detach", "", 405, ""},
 	} {
-		*did = nil
+		*calls = nil
 		status, body := call(t, addr, request(c.method, c.path, c.body))
 		if status != c.status || body == "" {
-			t.Errorf("%s %s: %d %q, wanted %d", c.method, c.path, status, body, c.status)
+			t.Errorf("%s %s: status %d %q, want %d", c.method, c.path, status, body, c.status)
 		}
-		if got := fmt.Sprint(*did); got != fmt.Sprint(append([]string(nil), c.did)) && got != "["+c.did+"]" {
-			t.Errorf("%s %s: did %s, wanted %s", c.method, c.path, got, c.did)
+		if got := fmt.Sprint(*calls); got != fmt.Sprint(append([]string(nil), c.handlerCall)) && got != "["+c.handlerCall+"]" {
+			t.Errorf("%s %s: called the handlers with %s, want %s", c.method, c.path, got, c.handlerCall)
 		}
 	}
 	ready.Store(true)
 	if status, _ := call(t, addr, request("GET", "/_ready", "")); status != 200 {
-		t.Errorf("ready: %d", status)
+		t.Errorf("ready: status %d", status)
 	}
 	if _, body := call(t, addr, request("GET", "/_vars", "")); body != "svc_in_flight 14\n" {
-		t.Errorf("figures: %q", body)
+		t.Errorf("metrics: %q", body)
 	}
 }
 
-// Danger: callers that hold a connection with no whole call keep the operator out.
-func TestHalfCallersMakeWay(t *testing.T) {
+// Guards against connections that never send a complete call and keep operators out: the oldest of them are closed.
+func TestPendingConnectionsAreClosedForNewCallers(t *testing.T) {
 	addr, _, ready := serve(t)
 	ready.Store(true)
-	var half []net.Conn
-	for i := range 3 * mostHalf {
+	var incomplete []net.Conn
+	for i := range 3 * maxPendingConns {
 		c, err := net.Dial("tcp", addr)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer c.Close()
 		io.WriteString(c, []string{"", "GET /_rea", request("POST", "/_cache-nodes/detach", "s")[:60]}[i%3])
-		half = append(half, c)
+		incomplete = append(incomplete, c)
 	}
 	for range 5 {
 		if status, _ := call(t, addr, request("GET", "/_ready", "")); status != 200 {
@@ -143,14 +145,14 @@
 		}
 	}
 	ended := 0
-	for _, c := range half[:mostHalf] { // the oldest have made way
-		c.SetReadDeadline(time.Now().Add(patience))
-		var late net.Error
-		if _, err := io.ReadAll(c); !errors.As(err, &late) || !late.Timeout() {
+	for _, c := range incomplete[:maxPendingConns] { // the oldest have been closed
+		c.SetReadDeadline(time.Now().Add(eventTimeout))
+		var netErr net.Error
+		if _, err := io.ReadAll(c); !errors.As(err, &netErr) || !netErr.Timeout() {
 			ended++
 		}
 	}
-	if ended != mostHalf {
-		t.Errorf("%d of the %d oldest have ended", ended, mostHalf)
+	if ended != maxPendingConns {
+		t.Errorf("%d of the %d oldest connections were closed", ended, maxPendingConns)
 	}
 }
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -19,15 +19,17 @@
 	"minttray/policy"
 )
 
-const bound = 20 * time.Second // bound of waits that end by an event; no verdict hangs on it
+// eventTimeout limits waits for an event; no assertion depends on its length.
+const eventTimeout = 20 * time.Second
 
-type told struct {
+// update is one call of OnUpdate.
+type update struct {
 	kind    policy.ListKind
 	members []engine.Member
 }
 
-// agent answers the nth call by what turn gives; "" breaks the connection.
-func agent(t *testing.T, ask bool, turn func(n int, query string) string, change ...func(*Watch)) (*Watch, chan told) {
+// agent starts a watcher and an agent that answers the nth call with what respond returns: "" closes the connection, "full" is status 503.
+func agent(t *testing.T, onDemand bool, respond func(n int, query string) string, options ...func(*Watcher)) (*Watcher, chan update) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -35,7 +37,7 @@
 	}
 	var calls atomic.Int32
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		text := turn(int(calls.Add(1))-1, r.URL.RawQuery)
+		text := respond(int(calls.Add(1))-1, r.URL.RawQuery)
 		if text == "" {
 			panic(http.ErrAbortHandler)
 		}
@@ -45,28 +47,28 @@
 		fmt.Fprint(w, text)
 	})}
 	go server.Serve(l)
-	watch := New(l.Addr().String(), NewNameTable([]string{"a", "b"}, []string{"box", "origin"}, zerolog.Nop()), ask, zerolog.Nop())
-	tells := make(chan told, 100)
-	watch.OnUpdate = func(kind policy.ListKind, members []engine.Member) { tells <- told{kind, members} }
-	for _, f := range change {
+	watch := New(l.Addr().String(), NewNameTable([]string{"a", "b"}, []string{"box", "origin"}, zerolog.Nop()), onDemand, zerolog.Nop())
+	updates := make(chan update, 100)
+	watch.OnUpdate = func(kind policy.ListKind, members []engine.Member) { updates <- update{kind, members} }
+	for _, f := range options {
 		f(watch)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { watch.Run(ctx); close(done) }()
 	t.Cleanup(func() { cancel(); server.Close(); <-done })
-	return watch, tells
+	return watch, updates
 }
 
-func hear(t *testing.T, tells chan told) told {
+func nextUpdate(t *testing.T, updates chan update) update {
 	t.Helper()
 	select {
-	case got := <-tells:
+	case got := <-updates:
 		return got
-	case <-time.After(bound):
-		t.Fatal("nothing was told")
+	case <-time.After(eventTimeout):
+		t.Fatalf("no update within %v", eventTimeout)
 	}
-	return told{}
+	return update{}
 }
 
 func entry(id, lifecycle string) string {
@@ -82,7 +84,7 @@
 	queries := make(chan string, 10)
 	hold := make(chan bool)
 	defer close(hold)
-	w, tells := agent(t, false, func(n int, query string) string {
+	w, updates := agent(t, false, func(n int, query string) string {
 		queries <- query
 		switch n {
 		case 0:
@@ -97,7 +99,7 @@
 		<-hold
 		return ""
 	})
-	got := hear(t, tells)
+	got := nextUpdate(t, updates)
 	if got.kind != policy.ListFull || len(got.members) != 2 {
 		t.Errorf("%+v", got)
 	}
@@ -106,13 +108,13 @@
 		t.Errorf("%+v", x)
 	}
 	if x.Start < 1700000000123*10 || x.Start >= 1700000000124*10 {
-		t.Errorf("started %d: older than it is, or another millisecond", x.Start)
+		t.Errorf("started %d: earlier than its start time, or in another millisecond", x.Start)
 	}
-	got = hear(t, tells)
+	got = nextUpdate(t, updates)
 	if got.kind != policy.ListDelta || len(got.members) != 1 || got.members[0].ID != x.ID || got.members[0].State != policy.Draining {
 		t.Errorf("%+v", got)
 	}
-	if got = hear(t, tells); got.kind != policy.ListFull || len(got.members) != 1 {
+	if got = nextUpdate(t, updates); got.kind != policy.ListFull || len(got.members) != 1 {
 		t.Errorf("%+v", got)
 	}
 	for _, want := range []string{"", "index=41&wait=1000", "index=43&wait=1000", "index=44&wait=1000", "index=50&wait=1000"} {
@@ -120,15 +122,15 @@
 			t.Errorf("asked %q, want %q", query, want)
 		}
 	}
-	if other := NewNameTable(nil, nil, zerolog.Nop()); other.number("y") == x.ID || other.number("x") != x.ID {
-		t.Error("another proxy gives the cache another number")
+	if other := NewNameTable(nil, nil, zerolog.Nop()); other.idOf("y") == x.ID || other.idOf("x") != x.ID {
+		t.Error("the number of a cache depends on the proxy")
 	}
-	w.Watch(true) // means nothing where changes come by themselves
+	w.Watch(true) // has no effect without OnDemand
 }
 
 func TestBrokenWatchIsReopened(t *testing.T) {
 	queries := make(chan string, 10)
-	_, tells := agent(t, false, func(n int, query string) string {
+	_, updates := agent(t, false, func(n int, query string) string {
 		queries <- query
 		switch n {
 		case 0:
@@ -143,11 +145,11 @@
 		return list(45, true, entry("z", "active"))
 	})
 	for i, want := range []policy.ListKind{policy.ListFull, policy.ListDelta, policy.ListFull} {
-		if got := hear(t, tells); got.kind != want || len(got.members) != 1 {
-			t.Errorf("told %d: %+v", i, got)
+		if got := nextUpdate(t, updates); got.kind != want || len(got.members) != 1 {
+			t.Errorf("update %d: %+v", i, got)
 		}
 	}
-	// Behind a fault the calls are short, and net/http repeats none by itself.
+	// After a failure the calls are short, and net/http does not resend any.
 	for _, want := range []string{"", "index=41&wait=1000", "index=41&wait=20", "index=41&wait=20", "index=42&wait=1000", ""} {
 		if query := <-queries; query != want {
 			t.Errorf("asked %q, want %q", query, want)
@@ -166,40 +168,40 @@
 	defer l.Close()
 	w := New(l.Addr().String(), NewNameTable(nil, nil, zerolog.Nop()), false, zerolog.Nop())
 	w.OnUpdate = func(policy.ListKind, []engine.Member) { panic("in the listener") }
-	if _, err := w.ask(context.Background(), http.DefaultClient, l.Addr().String(), nil, false, false); err == nil {
-		t.Error("no word of it")
+	if _, err := w.fetch(context.Background(), http.DefaultClient, l.Addr().String(), nil, false, false); err == nil {
+		t.Error("the panic was not reported as an error")
 	}
 }
 
-// An agent that is silent must not hold the watch for ever, nor take the old list away.
+// An agent that does not respond must not block the watcher, and the last list remains valid.
 func TestSilentAgentIsAskedAgain(t *testing.T) {
 	hold := make(chan bool)
 	defer close(hold)
-	_, tells := agent(t, false, func(n int, query string) string {
+	_, updates := agent(t, false, func(n int, query string) string {
 		if n == 0 {
 			<-hold
 			return ""
 		}
 		return list(1, true, entry("x", "active"))
 	})
-	if got := hear(t, tells); got.kind != policy.ListFull {
+	if got := nextUpdate(t, updates); got.kind != policy.ListFull {
 		t.Errorf("%+v", got)
 	}
 }
 
-// Danger: the old address takes nothing new after a reload, and versions of two agents need not compare.
+// Guards against a reload that keeps the old agent's address or its list version: versions of two agents are not comparable.
 func TestMoveBeginsWithTheWholeListAtTheNewAddress(t *testing.T) {
 	hold := make(chan bool)
 	defer close(hold)
 	asked := make(chan string, 9)
-	w, tells := agent(t, false, func(n int, query string) string {
+	w, updates := agent(t, false, func(n int, query string) string {
 		if asked <- query; n == 0 {
 			return list(900, true, entry("x", "active"))
 		}
-		<-hold // a watch in which nothing happens
+		<-hold // a watch without changes
 		return ""
 	})
-	hear(t, tells)
+	nextUpdate(t, updates)
 	for n := range 2 {
 		if query := <-asked; strings.Contains(query, "index") != (n == 1) {
 			t.Errorf("the old agent was asked %q", query)
@@ -220,39 +222,39 @@
 		fmt.Fprint(out, list(3, true, entry("y", "active"), entry("z", "active")))
 	}))
 	w.SetAddress(next.Addr().String())
-	w.SetAddress(next.Addr().String()) // nothing changed: the watch goes on
-	if got := hear(t, tells); got.kind != policy.ListFull || len(got.members) != 2 {
+	w.SetAddress(next.Addr().String()) // the same address: the watch continues
+	if got := nextUpdate(t, updates); got.kind != policy.ListFull || len(got.members) != 2 {
 		t.Errorf("%+v", got)
 	}
 	if first, second := <-queries, <-queries; first != "" || !strings.HasPrefix(second, "index=3&") {
 		t.Errorf("asked %q, then %q", first, second)
 	}
-	if w.moves.Load() != 1 {
-		t.Errorf("%d moves", w.moves.Load())
+	if w.addressChanges.Load() != 1 {
+		t.Errorf("%d moves", w.addressChanges.Load())
 	}
 }
 
 func TestModuleDecidesWhenToAskAgain(t *testing.T) {
-	w, tells := agent(t, true, func(n int, query string) string {
+	w, updates := agent(t, true, func(n int, query string) string {
 		if n == 0 {
 			return `not json`
 		}
 		return list(n, true, entry("x", "active"))
 	})
 	w.Watch(true)
-	if got := hear(t, tells); got.kind != policy.ListFailed || len(tells) > 0 {
+	if got := nextUpdate(t, updates); got.kind != policy.ListFailed || len(updates) > 0 {
 		t.Errorf("%+v", got)
 	}
 	w.Watch(true)
-	if got := hear(t, tells); got.kind != policy.ListFull {
+	if got := nextUpdate(t, updates); got.kind != policy.ListFull {
 		t.Errorf("%+v", got)
 	}
 }
 
-// Danger: where all proxies ask one service, a whole list from each at their start is what buries it.
+// Guards against overload of a service that all proxies share when each of them fetches the whole list at its start.
 func TestChangesSinceTheKnownListAreAskedForFirst(t *testing.T) {
 	queries := make(chan string, 10)
-	w, tells := agent(t, true, func(n int, query string) string {
+	w, updates := agent(t, true, func(n int, query string) string {
 		if queries <- query; n == 1 {
 			return "full"
 		}
@@ -267,22 +269,22 @@
 			t.Errorf("call %d asked %q, want %q", i, query, want)
 		}
 	}
-	if got := hear(t, tells); got.kind != policy.ListFailed {
+	if got := nextUpdate(t, updates); got.kind != policy.ListFailed {
 		t.Errorf("%+v", got)
 	}
 	w.Watch(true)
-	if got := hear(t, tells); got.kind != policy.ListDelta || len(got.members) != 0 {
-		t.Errorf("that the service answers again was not told: %+v", got)
+	if got := nextUpdate(t, updates); got.kind != policy.ListDelta || len(got.members) != 0 {
+		t.Errorf("the recovery of the service was not reported: %+v", got)
 	}
 }
 
 func TestBadDocuments(t *testing.T) {
 	names := NewNameTable(nil, []string{"box"}, zerolog.Nop())
 	for _, text := range []string{"", "[]", "null", "{}", `{"instances":[]}`, `{"generation":-1}`, `{"generation":1,"instances":{}}`,
-		`{"generation":1,"reset":true}`, // no list at all: it would name all caches gone
+		`{"generation":1,"reset":true}`, // taken for an empty list, it would remove all caches
 		`{"generation":1,"instances":[{"instanceId":5}]}`, list(1, true, entry("x", "active")) + "}"} {
 		if _, _, err := names.decode([]byte(text)); err == nil {
-			t.Errorf("%q was taken", text)
+			t.Errorf("%q was accepted", text)
 		}
 	}
 	good := entry("x", "active")
@@ -295,7 +297,7 @@
 			t.Errorf("%s: %d members, %v", bad, len(members), err)
 		}
 	}
-	// Danger: a drain whose address can't be read is a drain, and would be passed over.
+	// The entry of a draining cache must not be skipped because of an invalid address: the cache would stay in use.
 	for _, addr := range []string{"", "127.0.0.1", "127.0.0.1:0", "?:http"} {
 		drains := strings.Replace(entry("y", "leaving"), "127.0.0.1:6379", addr, 1)
 		if _, members, err := names.decode([]byte(list(1, false, drains))); err != nil || len(members) != 1 || members[0].State != policy.Gone {
@@ -304,13 +306,13 @@
 	}
 	_, members, err := names.decode([]byte(list(1, true, entry("x", "active"), entry("x", "leaving"))))
 	if err != nil || len(members) != 1 || members[0].State != policy.Draining {
-		t.Errorf("an entry twice: %+v, %v", members, err)
+		t.Errorf("duplicate entry: %+v, %v", members, err)
 	}
-	if got := names.strange.Load(); got != 2 { // its zone and its kind, each once
-		t.Errorf("%d names that the settings lack", got)
+	if got := names.unknownNames.Load(); got != 2 { // the zone and the machine type, once each
+		t.Errorf("%d unknown names", got)
 	}
 	if members[0].Kind < 1 {
-		t.Error("a kind that the settings lack took a number of theirs")
+		t.Error("an unknown machine type got the number of a known one")
 	}
 	odd := strings.NewReplacer(`"weight":2.5`, `"weight":-1`, "1700000000123", "-5").Replace(good)
 	if _, members, _ = names.decode([]byte(list(1, true, odd))); members[0].Weight != 1 || members[0].Start != 0 {
@@ -332,12 +334,12 @@
 	}
 }
 
-// Danger: on a long day ids are ever new, and what is kept of each fills the memory.
+// Guards against memory growth over a long run, in which new caches keep arriving under new ids.
 func TestGoneCachesAreForgotten(t *testing.T) {
 	names := NewNameTable(nil, nil, zerolog.Nop())
 	decode := func(text string) uint32 {
 		doc, members, err := names.decode([]byte(text))
-		names.forget(doc)
+		names.forgetGone(doc)
 		if err != nil || len(members) == 0 {
 			t.Fatal(text, err)
 		}
@@ -348,15 +350,15 @@
 		decode(list(i, false, entry(fmt.Sprint("c", i+1), "active"), entry(fmt.Sprint("c", i), "left"), entry("never seen", "left")))
 		decode(list(i, false, strings.Replace(entry("stays", "active"), `"b"`, fmt.Sprintf(`"zone%d"`, i), 1)))
 	}
-	if len(names.ids) != 2 || len(names.taken) != 2 || len(names.zones) > mostNames {
-		t.Errorf("%d ids, %d numbers and %d zones kept", len(names.ids), len(names.taken), len(names.zones))
+	if len(names.ids) != 2 || len(names.instanceByID) != 2 || len(names.zones) > maxNames {
+		t.Errorf("%d ids, %d numbers and %d zones in the table", len(names.ids), len(names.instanceByID), len(names.zones))
 	}
 	if again := decode(list(9, true, entry("stays", "active"))); again != first || len(names.ids) != 1 {
-		t.Errorf("number %d, then %d; %d ids kept after a whole list", first, again, len(names.ids))
+		t.Errorf("number %d, then %d; %d ids in the table after a whole list", first, again, len(names.ids))
 	}
 }
 
-// Danger: a list service that has lost its memory empties the fleet; or, where its lists are held, drains in them are missed.
+// Guards against a list service that has lost its state and empties the fleet, and against missing the drains in a list that is held back.
 func TestListsInDoubt(t *testing.T) {
 	hold := make(chan bool)
 	origin := entry("o", "active")
@@ -367,18 +369,18 @@
 	whole := list(1, true, box("a", "active"), box("b", "active"), box("c", "active"), box("d", "active"))
 	texts := []string{whole, list(2, true, origin), list(3, true), list(4, true, box("a", "leaving"), box("e", "active")), whole,
 		list(5, true, box("a", "active")), list(6, true, box("a", "active")), list(7, true, box("a", "active")), list(8, true, box("b", "active"))}
-	_, tells := agent(t, false, func(n int, query string) string {
+	_, updates := agent(t, false, func(n int, query string) string {
 		if n < len(texts) {
 			return texts[n]
 		}
 		<-hold
 		return ""
-	}, func(w *Watch) {
+	}, func(w *Watcher) {
 		w.OriginKind = 1
 		w.Guard = roster.Guard[time.Duration]{MaxMissingShare: 0.5, ConfirmAfter: 100 * time.Millisecond}
 	})
 	for i, want := range []string{"0 a0 b0 c0 d0", "1 o0", "1 a1 e0", "0 a0 b0 c0 d0", "1 a0", "1 a0", "0 a0"} {
-		got := hear(t, tells)
+		got := nextUpdate(t, updates)
 		text := fmt.Sprint(got.kind)
 		for _, m := range got.members {
 			text += fmt.Sprintf(" %s%d", m.Name, m.State)
@@ -389,47 +391,47 @@
 	}
 }
 
-// Danger: what an agent gets as it comes back after an outage counts as told just then: a call that still waits for the silent one,
-// or a long wait before the next, takes the drain's grace. The agent here falls silent under a watch, answers no call, and is back
-// with a drain: the next call behind a fault must be a short one.
+// Guards against a call that still waits for a silent agent, or a long pause before the next call, when the agent recovers: the changes
+// that the agent receives count as delivered at that moment, and the delay would consume the grace period of a drain. The agent falls
+// silent during a watch, answers no call, and recovers with a drain: the next call after a failure must be a short one.
 func TestAnAgentThatComesBackWithDrainsIsHeardAtOnce(t *testing.T) {
 	hold, silent := make(chan bool), make(chan string, 99)
 	defer close(hold)
 	var back atomic.Bool
-	w, tells := agent(t, false, func(n int, query string) string {
+	w, updates := agent(t, false, func(n int, query string) string {
 		switch {
 		case n == 0:
 			return list(41, true, entry("x", "active"), entry("y", "active"))
 		case n == 1:
-			return "" // the watch breaks: the proxy knows that something is wrong
+			return "" // the watch fails, so that the following calls are short
 		case !back.Load():
 			silent <- query
 			<-hold
 		}
 		return list(42, false, entry("x", "leaving"))
 	})
-	hear(t, tells)
-	for range 3 { // calls in vain
+	nextUpdate(t, updates)
+	for range 3 { // unanswered calls
 		query := ""
 		select {
 		case query = <-silent:
-		case <-time.After(bound):
-			t.Fatal("not asked again")
+		case <-time.After(eventTimeout):
+			t.Fatal("no further call")
 		}
 		if query != "index=41&wait=20" {
-			t.Errorf("asked %q behind a fault", query)
+			t.Errorf("asked %q after a failure", query)
 		}
 	}
 	back.Store(true)
-	if got := hear(t, tells); got.kind != policy.ListDelta || got.members[0].State != policy.Draining {
+	if got := nextUpdate(t, updates); got.kind != policy.ListDelta || got.members[0].State != policy.Draining {
 		t.Errorf("%+v", got)
 	}
-	if w.faults.Load() == 0 {
-		t.Error("no fault was counted")
+	if w.failures.Load() == 0 {
+		t.Error("no failure was counted")
 	}
 }
 
-// Headers and no body, or half a document, and then nothing: the call ends by its time, the next one is heard.
+// An agent that stops after the headers or within the document: the call times out and the next one succeeds.
 func TestAnAgentThatStopsInMidAnswer(t *testing.T) {
 	for name, part := range map[string]string{"headers alone": "", "half a document": `{"generation":42,"reset":false,"inst`} {
 		t.Run(name, func(t *testing.T) {
@@ -456,46 +458,46 @@
 			})}
 			go server.Serve(l)
 			defer server.Close()
-			w, tells := New(l.Addr().String(), NewNameTable(nil, nil, zerolog.Nop()), false, zerolog.Nop()), make(chan told, 100)
-			w.OnUpdate = func(kind policy.ListKind, members []engine.Member) { tells <- told{kind, members} }
+			w, updates := New(l.Addr().String(), NewNameTable(nil, nil, zerolog.Nop()), false, zerolog.Nop()), make(chan update, 100)
+			w.OnUpdate = func(kind policy.ListKind, members []engine.Member) { updates <- update{kind, members} }
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
 			go w.Run(ctx)
-			hear(t, tells)
-			if got := hear(t, tells); got.kind != policy.ListDelta || got.members[0].State != policy.Draining || w.faults.Load() != 1 {
-				t.Errorf("%+v, %d faults", got, w.faults.Load())
+			nextUpdate(t, updates)
+			if got := nextUpdate(t, updates); got.kind != policy.ListDelta || got.members[0].State != policy.Draining || w.failures.Load() != 1 {
+				t.Errorf("%+v, %d failures", got, w.failures.Load())
 			}
 		})
 	}
 }
 
-// A slow agent is heard all the same: now and then a call is given its whole patience.
+// A slow agent is not ignored after a failure: some calls get the full timeout.
 func TestASlowAgentIsHeardBehindAFault(t *testing.T) {
 	t.Parallel()
 	var calls atomic.Int32
-	_, tells := agent(t, false, func(n int, query string) string {
+	_, updates := agent(t, false, func(n int, query string) string {
 		if n == 0 {
 			return ""
 		}
 		calls.Add(1)
-		time.Sleep((atOnce + patience) / 2) // too slow for a short call, quick enough for a whole one
+		time.Sleep((retryTimeout + responseTimeout) / 2) // too slow for the short timeout, fast enough for the full one
 		return list(1, true, entry("x", "active"))
 	})
-	if got := hear(t, tells); got.kind != policy.ListFull || calls.Load() < 2 {
+	if got := nextUpdate(t, updates); got.kind != policy.ListFull || calls.Load() < 2 {
 		t.Errorf("%+v after %d calls", got, calls.Load())
 	}
 }
 
-// Danger: a watch that falls silent where the list is asked for is broken, and what it misses counts as told 2 s after its wait: the wait
-// between calls that failed would take the drains' grace. It is opened anew at once, with a short wait, and only once.
+// Guards against a watch on demand that times out and is reopened late: the changes that it misses count as delivered 2 s after its wait, and the
+// pause between failed calls would consume the grace period of drains. It is reopened at once with a short wait, and only once.
 func TestASilentWatchIsOpenedAnewWhereTheListIsAskedFor(t *testing.T) {
 	t.Parallel()
-	for name, again := range map[string]bool{"and is heard": true, "and is silent still": false} {
+	for name, again := range map[string]bool{"then responds": true, "stays silent": false} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			hold, queries := make(chan bool), make(chan string, 9)
 			defer close(hold)
-			w, tells := agent(t, true, func(n int, query string) string {
+			w, updates := agent(t, true, func(n int, query string) string {
 				queries <- query
 				if n == 0 {
 					return list(7, true, entry("x", "active"))
@@ -507,8 +509,8 @@
 				return ""
 			})
 			w.Watch(true)
-			hear(t, tells)
-			got := hear(t, tells)
+			nextUpdate(t, updates)
+			got := nextUpdate(t, updates)
 			for _, want := range []string{"", "index=7&wait=5000", "index=7&wait=20"} {
 				if query := <-queries; query != want {
 					t.Errorf("asked %q, want %q", query, want)
@@ -521,7 +523,7 @@
 	}
 }
 
-// Danger: a bound that was made for hundreds of servers cuts the list of thousands, and none is ever taken.
+// Guards against a size limit that suits hundreds of servers and rejects every list of thousands.
 func TestAListOfThousandsThatComesIndented(t *testing.T) {
 	const servers = 3200
 	var entries []string
@@ -534,13 +536,13 @@
 	}
 	hold := make(chan bool)
 	defer close(hold)
-	_, tells := agent(t, false, func(n int, _ string) string {
+	_, updates := agent(t, false, func(n int, _ string) string {
 		if n > 0 {
 			<-hold
 		}
 		return text.String()
 	})
-	if got := hear(t, tells); len(got.members) != servers || got.kind != policy.ListFull {
-		t.Errorf("%d of %d servers taken of a list of %d bytes", len(got.members), servers, text.Len())
+	if got := nextUpdate(t, updates); len(got.members) != servers || got.kind != policy.ListFull {
+		t.Errorf("%d of %d servers in the update for a list of %d bytes", len(got.members), servers, text.Len())
 	}
 }
--- /dev/null
+++ b/internal/discovery/watcher.go
@@ -0,0 +1,361 @@
+// Package discovery keeps the list of caches up to date: it fetches the whole list, then watches for changes.
+package discovery
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"net/http/httptrace"
+	"net/url"
+	"runtime/debug"
+	"strconv"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"github.com/rs/zerolog"
+
+	"minttray/decide/roster"
+	"minttray/internal/engine"
+	"minttray/policy"
+)
+
+// Timing of calls to a discovery service that all proxies share. They are made on demand: the decision module requests each one.
+const (
+	onDemandWait         = 5 * time.Second // time for which the service holds a call until the list changes
+	onDemandTimeout      = 3 * time.Second // limit for a response, beyond the wait; calls queue at the service
+	onDemandWatchTimeout = 2 * time.Second // limit for a watch, beyond the wait: after it, changes count as delivered whether or not they arrived
+)
+
+// Timing of calls to a discovery agent on the proxy's own machine, which responds immediately and at no cost. Changes that the agent
+// receives when it recovers count as delivered at that moment, and a long call to the silent agent could outlast the grace period of a
+// drain. Calls after a failure are therefore short.
+const (
+	watchWait        = time.Second            // time for which the agent holds a call until the list changes
+	responseTimeout  = time.Second            // limit for a response, beyond the wait
+	retryWait        = 20 * time.Millisecond  // wait of a call after a failure
+	retryTimeout     = 230 * time.Millisecond // limit for a response beyond the wait, for the first list and after a failure
+	initialBackoff   = 50 * time.Millisecond  // pause after the first failed call
+	maxBackoff       = 100 * time.Millisecond // limit for the pause between failed calls
+	fullTimeoutEvery = 16                     // one call in this many after a failure gets responseTimeout, so that a slow agent is heard
+)
+
+const (
+	maxListBytes   = 4 << 20 // thousands of entries of up to 1 KiB each if the document is indented
+	maxHeaderBytes = 16 << 10
+)
+
+// pendingWatchRequests is how many calls of Watch can be pending; further ones are dropped.
+const pendingWatchRequests = 64
+
+// Watcher keeps a proxy's list of caches up to date.
+type Watcher struct {
+	// NameTable numbers the entries.
+	NameTable *NameTable
+	// OnDemand makes the watcher call only when Watch(true) has requested it; after a failure it waits for the next request.
+	OnDemand bool
+	// OnUpdate receives each list and each change.
+	OnUpdate func(policy.ListKind, []engine.Member)
+	Log      zerolog.Logger
+	// Guard judges each whole list. A list that it holds is fetched again.
+	Guard roster.Guard[time.Duration]
+	// OriginKind is the machine type of the origin, which does not count as a cache.
+	OriginKind int
+
+	startedAt     time.Time
+	inUse         map[string]bool // names of the caches in use by the last list; used by Run's goroutine only
+	knownVersion  *uint64         // version of the list that the proxy starts with
+	watchRequests chan bool
+
+	version, calls, failures, addressChanges, suspectLists atomic.Uint64
+
+	mu         sync.Mutex
+	addr       string
+	cancelCall context.CancelFunc // cancels the call in progress
+}
+
+// New returns a watcher; Run starts it.
+func New(addr string, names *NameTable, onDemand bool, log zerolog.Logger) *Watcher {
+	return &Watcher{
+		addr:          addr,
+		NameTable:     names,
+		OnDemand:      onDemand,
+		Log:           log,
+		startedAt:     time.Now(),
+		OriginKind:    -1,
+		inUse:         map[string]bool{},
+		watchRequests: make(chan bool, pendingWatchRequests),
+		cancelCall:    func() {},
+	}
+}
+
+// SetAddress switches to another address. It cancels the call in progress, since the old agent may be silent by now, and its response
+// is ignored. The list remains valid until the new agent has delivered its own.
+func (w *Watcher) SetAddress(addr string) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if addr == w.addr {
+		return
+	}
+	w.addr = addr
+	w.addressChanges.Add(1)
+	w.cancelCall()
+}
+
+// beginCall returns the address for the next call, and a context that is cancelled when the address changes.
+func (w *Watcher) beginCall(ctx context.Context) (string, context.Context, context.CancelFunc) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	ctx, w.cancelCall = context.WithCancel(ctx)
+	return w.addr, ctx, w.cancelCall
+}
+
+// Watch turns calls on or off if OnDemand is set, and has no effect otherwise.
+func (w *Watcher) Watch(on bool) {
+	select {
+	case w.watchRequests <- on:
+	default:
+	}
+}
+
+// LoadKnown decodes the list that the configuration holds.
+func (w *Watcher) LoadKnown(text []byte) ([]engine.Member, error) {
+	if len(text) == 0 || string(text) == "null" {
+		return nil, nil
+	}
+	doc, members, err := w.NameTable.decode(text)
+	w.knownVersion = doc.Generation
+	w.trackInUse(true, members)
+	return members, err
+}
+
+// Run calls the service until ctx ends. A failure leaves the last list valid.
+func (w *Watcher) Run(ctx context.Context) {
+	transport := &http.Transport{DialContext: (&net.Dialer{Timeout: responseTimeout}).DialContext, MaxConnsPerHost: 2,
+		MaxResponseHeaderBytes: maxHeaderBytes, DisableCompression: true}
+	client := &http.Client{Transport: transport}
+	defer transport.CloseIdleConnections()
+	var version *uint64
+	var versionAddr string // the address that version comes from: versions of two agents are not comparable
+	backoff, failures := initialBackoff, 0
+	on := !w.OnDemand
+	reopen := false // the last watch timed out
+	for ctx.Err() == nil {
+		for w.OnDemand && !on {
+			select {
+			case on = <-w.watchRequests:
+			case <-ctx.Done():
+				return
+			}
+		}
+		addr, call, done := w.beginCall(ctx)
+		if addr != versionAddr {
+			// The whole list costs a service that all proxies share one line per cache. The changes since the list that this proxy
+			// starts with are fewer and complete.
+			if version = nil; w.OnDemand && versionAddr == "" {
+				version = w.knownVersion
+			}
+			versionAddr, backoff = addr, initialBackoff
+			transport.CloseIdleConnections()
+		}
+		w.calls.Add(1)
+		short := reopen || !w.OnDemand && (version == nil || failures > 0)
+		fullTimeout := failures%fullTimeoutEvery == fullTimeoutEvery-1
+		next, err := w.fetch(call, client, addr, version, short, fullTimeout)
+		addressChanged := call.Err() != nil
+		if err == nil {
+			done()
+			w.version.Store(*next)
+			if version, backoff, reopen = next, initialBackoff, false; failures > 0 {
+				if w.OnDemand { // tells the module, which decides on the next call, that the service has recovered even if nothing changed
+					w.OnUpdate(policy.ListDelta, nil)
+				}
+				w.Log.Info().Int("faults", failures).Msg("discovery responds again")
+				failures = 0
+			}
+			continue
+		}
+		if addressChanged {
+			continue
+		}
+		if errors.Is(err, errSuspectList) {
+			version, backoff = nil, initialBackoff
+			select {
+			case <-time.After(w.Guard.ConfirmAfter / 2):
+			case <-call.Done():
+			}
+			done()
+			continue
+		}
+		w.failures.Add(1)
+		if failures++; failures == 1 {
+			w.Log.Warn().Err(err).Msg("discovery call failed; keeping the last list")
+		}
+		var invalidDocument *invalidDocumentError
+		if errors.As(err, &invalidDocument) {
+			version = nil // its changes are unknown, so the next call fetches the whole list
+		}
+		if w.OnDemand {
+			done()
+			// A watch that timed out is broken, and the changes that it missed count as delivered by now: the pause between failed calls
+			// would consume the grace period of drains. It is reopened at once, but only once, so that a service that does not respond gets
+			// fewer calls.
+			if timedOut := errors.Is(err, context.DeadlineExceeded) && version != nil; timedOut && !reopen {
+				reopen = true
+				continue
+			}
+			on, reopen = false, false
+			w.OnUpdate(policy.ListFailed, nil)
+			continue
+		}
+		select {
+		case <-time.After(backoff):
+		case <-call.Done(): // a new address does not wait for the back-off of the old one
+		}
+		done()
+		backoff = min(2*backoff, maxBackoff)
+	}
+}
+
+// MarshalZerologObject writes the counters into a log line.
+func (w *Watcher) MarshalZerologObject(l *zerolog.Event) {
+	l.Uint64("version", w.version.Load()).Uint64("calls", w.calls.Load()).Uint64("faults", w.failures.Load()).
+		Uint64("moves", w.addressChanges.Load()).Uint64("held", w.suspectLists.Load()).Uint64("strange_names", w.NameTable.unknownNames.Load())
+}
+
+// invalidDocumentError means that the service sent a document that can't be used.
+type invalidDocumentError struct{ error }
+
+// errSuspectList means that the guard holds a whole list until it is confirmed.
+var errSuspectList = errors.New("list lacks too many caches and is not confirmed yet")
+
+// isSuspect reports whether the guard holds a whole list back.
+func (w *Watcher) isSuspect(members []engine.Member) bool {
+	listed := map[string]bool{}
+	ready := 0
+	for _, m := range members {
+		if listed[m.Name] = true; m.State == policy.Ready && m.Kind != w.OriginKind {
+			ready++
+		}
+	}
+	missing := 0
+	for name := range w.inUse {
+		if !listed[name] {
+			missing++
+		}
+	}
+	wasSuspect := w.Guard.Holding()
+	suspect := w.Guard.Evaluate(time.Since(w.startedAt), len(w.inUse), missing, ready) == roster.Hold
+	if suspect && !wasSuspect {
+		w.suspectLists.Add(1)
+		w.Log.Warn().Int("lacks", missing).Int("of", len(w.inUse)).Msg("list lacks too many caches at once; keeping them and fetching the list again")
+	}
+	return suspect
+}
+
+// trackInUse records which caches are in use.
+func (w *Watcher) trackInUse(whole bool, members []engine.Member) {
+	if whole {
+		clear(w.inUse)
+	}
+	for _, m := range members {
+		if delete(w.inUse, m.Name); m.State == policy.Ready && m.Kind != w.OriginKind {
+			w.inUse[m.Name] = true
+		}
+	}
+}
+
+// fetch makes one call and delivers its list or changes. short selects the short wait, and for an agent the short timeout too unless
+// fullTimeout is set: for the first call, and for calls after a failure.
+func (w *Watcher) fetch(ctx context.Context, client *http.Client, addr string, version *uint64, short, fullTimeout bool) (next *uint64, err error) {
+	defer func() {
+		if recovered := recover(); recovered != nil {
+			w.Log.Error().Interface("panic", recovered).Bytes("stack", debug.Stack()).Msg("panic while processing a discovery response")
+			err = &invalidDocumentError{errors.New("panic")}
+		}
+	}()
+	u := url.URL{Scheme: "http", Host: addr, Path: "/catalog/members"}
+	timeout := responseTimeout
+	if w.OnDemand { // a call given up while it queues is wasted work for the service, and its repetition adds more
+		timeout = onDemandTimeout
+	}
+	wait := onDemandWait
+	switch {
+	case w.OnDemand && short:
+		wait = retryWait
+	case w.OnDemand && version != nil:
+		timeout = onDemandWatchTimeout
+	case short && fullTimeout:
+		wait = retryWait
+	case short:
+		timeout, wait = retryTimeout, retryWait
+	case !w.OnDemand:
+		wait = watchWait
+	}
+	if version != nil {
+		u.RawQuery = "index=" + strconv.FormatUint(*version, 10) + "&wait=" + strconv.Itoa(int(wait/time.Millisecond))
+		timeout += wait
+	}
+	ctx, cancel := context.WithTimeout(ctx, timeout)
+	defer cancel()
+	if !w.OnDemand {
+		// net/http resends a call whose connection broke. That call would have the long wait, to an agent that may be silent by now.
+		connections := 0
+		ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GetConn: func(string) {
+			if connections++; connections > 1 {
+				cancel()
+			}
+		}})
+	}
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, u.String(), nil)
+	if err != nil {
+		return nil, err
+	}
+	resp, err := client.Do(req)
+	if err != nil {
+		return nil, err
+	}
+	defer resp.Body.Close()
+	text, err := io.ReadAll(io.LimitReader(resp.Body, maxListBytes+1))
+	if err != nil {
+		return nil, err
+	}
+	if len(text) > maxListBytes {
+		return nil, fmt.Errorf("discovery: list exceeds %d bytes", maxListBytes)
+	}
+	if resp.StatusCode != http.StatusOK {
+		return nil, fmt.Errorf("discovery: %s", resp.Status)
+	}
+	doc, members, err := w.NameTable.decode(text)
+	if err != nil {
+		return nil, &invalidDocumentError{err}
+	}
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if addr != w.addr { // a response of the old agent must not be delivered after the change
+		return nil, fmt.Errorf("discovery: address changed from %s to %s during the call", addr, w.addr)
+	}
+	whole := doc.Reset || version == nil
+	if whole && w.isSuspect(members) {
+		if len(members) > 0 {
+			w.trackInUse(false, members)
+			w.OnUpdate(policy.ListDelta, members)
+		}
+		return nil, errSuspectList
+	}
+	w.NameTable.forgetGone(doc) // not for a suspect list: caches that stay keep their numbers
+	w.trackInUse(whole, members)
+	switch {
+	case whole:
+		if len(members) == 0 {
+			w.Log.Warn().Msg("discovery list is empty")
+		}
+		w.OnUpdate(policy.ListFull, members)
+	case len(members) > 0:
+		w.OnUpdate(policy.ListDelta, members)
+	}
+	return doc.Generation, nil
+}
--- a/internal/origin/origin.go
+++ b/internal/origin/origin.go
@@ -1,5 +1,5 @@
-// Package origin holds the origin's wire, HTTP/1.1. Requests go out over our own connections: net/http's
-// Transport sends a GET again by itself when a reused connection breaks, and each copy counts as a push.
+// Package origin implements the wire protocol of the origin, HTTP/1.1. Requests go out over the connections of package pool: the
+// Transport of net/http resends a GET when a reused connection breaks, and each copy counts as an attempt.
 package origin
 
 import (
@@ -19,21 +19,23 @@
 )
 
 const (
-	longest     = engine.MaxContiguousBytes // a value that is held
-	longestHead = 16 << 10     // net/http sets no bound to an answer's header
-	mostInterim = 16           // 1xx ahead of one answer
+	maxValueBytes       = engine.MaxContiguousBytes // largest value that is read at once; longer ones are streamed
+	maxHeaderBytes      = 16 << 10                  // net/http does not limit the header of a response
+	maxInterimResponses = 16                        // 1xx responses before a final one
 )
 
-// Protocol is HTTP/1.1 as the origin speaks it; Host is the address that stands in the list.
-type Protocol struct{ Host string }
+// Protocol is the origin's HTTP/1.1 dialect.
+type Protocol struct {
+	Host string // the origin's address, host:port, as listed by discovery
+}
 
-// Append writes GET /KEY, or PUT /KEY with the value. The properties go on as they came, but for the deadline, which is the attempt's own:
-// the origin is a server like any other.
-func (p Protocol) Append(b []byte, r *engine.Request, passed deadline.AttemptDeadline) (all []byte, gap int) {
+// AppendRequest appends GET /KEY, or PUT /KEY with the value. The properties are forwarded unchanged, except for the deadline, which is
+// the attempt's own, as with caches.
+func (p Protocol) AppendRequest(b []byte, r *engine.Request, passed deadline.AttemptDeadline) (encoded []byte, valueOffset int) {
 	properties := string(r.Properties.Append(nil, passed))
 	req := &http.Request{Method: http.MethodGet, Host: p.Host, URL: &url.URL{Path: "/" + r.Key}, Proto: "HTTP/1.1",
 		ProtoMajor: 1, ProtoMinor: 1, Header: http.Header{"X-Trace-Id": {r.ID}, "X-Props": {properties}, "User-Agent": nil}}
-	if len(r.Parts) > 0 { // net/http would have to be handed the value
+	if len(r.Parts) > 0 { // http.Request.Write would need the value itself
 		out := bytes.NewBuffer(b)
 		fmt.Fprintf(out, "PUT %s HTTP/1.1\r\nHost: %s\r\nContent-Length: %d\r\n", req.URL.RequestURI(), p.Host, r.Size())
 		delete(req.Header, "User-Agent")
@@ -48,87 +50,90 @@
 		}
 	}
 	out := bytes.NewBuffer(b)
-	req.Write(out) // to memory: it can't fail but for a malformed request, which is then cut and refused
+	req.Write(out) // to memory: fails only for a malformed request, which the origin then receives truncated and rejects
 	return out.Bytes(), 0
 }
 
-// Answers reads one connection's answers.
-func (Protocol) Answers(r io.Reader) pool.Answers {
-	limit := &io.LimitedReader{R: r}
-	return &answers{limit: limit, r: bufio.NewReader(limit)}
+// NewResponseReader returns a reader for the responses of one connection.
+func (Protocol) NewResponseReader(r io.Reader) pool.ResponseReader {
+	limited := &io.LimitedReader{R: r}
+	return &responseReader{limited: limited, reader: bufio.NewReader(limited)}
 }
 
-type answers struct {
-	limit *io.LimitedReader // what one answer may take, so that an endless one ends
-	r     *bufio.Reader
-	body  io.ReadCloser // of a value that is announced
-	size  int64
-	keep  bool
+type responseReader struct {
+	limited *io.LimitedReader // limits the bytes of one response
+	reader  *bufio.Reader
+
+	// Set by ReadResponse for a value that StreamValue reads.
+	pendingBody      io.ReadCloser
+	pendingSize      int64 // bytes
+	pendingKeepAlive bool
 }
 
-func (a *answers) Wait() error {
-	a.limit.N = longest + longestHead
-	_, err := a.r.Peek(1)
+func (rr *responseReader) Wait() error {
+	rr.limited.N = maxValueBytes + maxHeaderBytes
+	_, err := rr.reader.Peek(1)
 	return err
 }
 
-// Pass hands on an announced value.
-func (a *answers) Pass(w *io.PipeWriter) (keep bool, err error) {
-	under := a.limit.R
-	a.limit.R, a.limit.N = pool.Patiently(under), a.size
-	defer func() { a.limit.R, a.body = under, nil }()
+// StreamValue writes an announced value to w.
+func (rr *responseReader) StreamValue(w *io.PipeWriter) (keep bool, err error) {
+	source := rr.limited.R
+	rr.limited.R, rr.limited.N = pool.WithReadTimeout(source), rr.pendingSize
+	defer func() { rr.limited.R, rr.pendingBody = source, nil }()
 	buf := make([]byte, 32<<10)
-	if _, err := io.CopyBuffer(struct{ io.Writer }{w}, a.body, buf); err != nil {
+	if _, err := io.CopyBuffer(struct{ io.Writer }{w}, rr.pendingBody, buf); err != nil {
 		return false, err
 	}
-	a.body.Close()
-	return a.keep, nil
+	rr.pendingBody.Close()
+	return rr.pendingKeepAlive, nil
 }
 
-func (a *answers) Rest() int { return a.r.Buffered() }
+func (rr *responseReader) Buffered() int { return rr.reader.Buffered() }
 
-// spoilt keeps the network's errors apart: what ended or was given up is no bad answer.
-func spoilt(why any) error {
-	if err, ok := why.(error); ok {
-		var n net.Error
-		if errors.As(err, &n) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, io.EOF) {
+// invalidResponse wraps reason in pool.ErrInvalidResponse. It returns network errors unchanged: a connection that was closed or aborted is
+// no protocol violation.
+func invalidResponse(reason any) error {
+	if err, ok := reason.(error); ok {
+		var netErr net.Error
+		if errors.As(err, &netErr) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, io.EOF) {
 			return err
 		}
 	}
-	return fmt.Errorf("%w: %v", pool.ErrSpoilt, why)
+	return fmt.Errorf("%w: %v", pool.ErrInvalidResponse, reason)
 }
 
-func (a *answers) Read(r *engine.Request) (engine.Result, bool, error) {
+func (rr *responseReader) ReadResponse(r *engine.Request) (engine.Result, bool, error) {
 	method := http.MethodGet
 	if r.Write {
 		method = http.MethodPut
 	}
 	req := &http.Request{Method: method}
-	resp, err := http.ReadResponse(a.r, req)
-	for n := 0; err == nil && resp.StatusCode < 200 && resp.StatusCode != http.StatusSwitchingProtocols && n < mostInterim; n++ {
-		resp, err = http.ReadResponse(a.r, req) // word that the answer is still to come
+	resp, err := http.ReadResponse(rr.reader, req)
+	for n := 0; err == nil && resp.StatusCode < 200 && resp.StatusCode != http.StatusSwitchingProtocols && n < maxInterimResponses; n++ {
+		resp, err = http.ReadResponse(rr.reader, req)
 	}
 	if err != nil {
-		return engine.Result{}, false, spoilt(err)
+		return engine.Result{}, false, invalidResponse(err)
 	}
 	switch {
 	case resp.StatusCode < 200:
-		return engine.Result{}, false, spoilt("no answer behind its interim ones")
-	case resp.ContentLength > longest && resp.ContentLength <= engine.MaxValueBytes && resp.StatusCode == http.StatusOK:
-		a.body, a.size, a.keep = resp.Body, resp.ContentLength, !resp.Close
-		return engine.Result{Outcome: policy.Acked, Body: engine.Body{Size: int(a.size)}}, a.keep, nil
-	case resp.ContentLength > longest:
-		return engine.Result{}, false, spoilt("body longer than a value may be")
+		return engine.Result{}, false, invalidResponse("no final response after " + resp.Status)
+	case resp.ContentLength > maxValueBytes && resp.ContentLength <= engine.MaxValueBytes && resp.StatusCode == http.StatusOK:
+		rr.pendingBody, rr.pendingSize, rr.pendingKeepAlive = resp.Body, resp.ContentLength, !resp.Close
+		return engine.Result{Outcome: policy.Acked, Body: engine.Body{Size: int(rr.pendingSize)}}, rr.pendingKeepAlive, nil
+	case resp.ContentLength > maxValueBytes:
+		return engine.Result{}, false, invalidResponse(fmt.Sprintf("%s with a body of %d bytes exceeds the limit", resp.Status, resp.ContentLength))
 	case resp.ContentLength < 0 && len(resp.TransferEncoding) == 0:
-		// It would end with the connection: nobody could tell a whole value from one cut short.
-		return engine.Result{}, false, spoilt("body of no known length")
+		// Such a body ends with the connection: a complete value can't be told from a truncated one.
+		return engine.Result{}, false, invalidResponse("body without a length")
 	}
-	body, err := io.ReadAll(io.LimitReader(resp.Body, longest+1))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxValueBytes+1))
 	if err != nil {
-		return engine.Result{}, false, spoilt(err)
+		return engine.Result{}, false, invalidResponse(err)
 	}
-	if len(body) > longest {
-		return engine.Result{}, false, spoilt("body longer than a value may be")
+	if len(body) > maxValueBytes {
+		return engine.Result{}, false, invalidResponse(fmt.Sprintf("chunked body exceeds %d bytes", maxValueBytes))
 	}
 	resp.Body.Close()
 	keep := !resp.Close
--- a/internal/origin/origin_test.go
+++ b/internal/origin/origin_test.go
@@ -21,10 +21,11 @@
 	"minttray/policy"
 )
 
-const patience = 10 * time.Second // bound of waits that end by an event; no verdict hangs on it
+// eventTimeout limits waits for an event; no assertion depends on its length.
+const eventTimeout = 10 * time.Second
 
-// listen answers each request by the reply that turn gives it, or ends the connection where that is "".
-func listen(t *testing.T, turn func(n int, r *http.Request, body string) string) string {
+// listen starts a server that answers the nth request with what respond returns for it, or closes the connection if that is "".
+func listen(t *testing.T, respond func(n int, r *http.Request, body string) string) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -44,7 +45,7 @@
 					break
 				}
 				body, _ := io.ReadAll(req.Body)
-				reply := turn(n, req, string(body))
+				reply := respond(n, req, string(body))
 				if n++; reply == "" {
 					break
 				}
@@ -56,22 +57,24 @@
 	return l.Addr().String()
 }
 
+// ask pushes a request and returns its result.
 func ask(t *testing.T, p *pool.Pool, r *engine.Request) engine.Result {
 	t.Helper()
 	results := make(chan engine.Result, 1)
 	p.Push(r, time.Now().Add(time.Hour), func(res engine.Result) { results <- res })
 	select {
 	case res := <-results:
-		time.Sleep(10 * time.Millisecond) // past the moment for which a connection that has just answered is left alone
+		time.Sleep(10 * time.Millisecond) // until the connection can be reused: the reuse delay of package pool
 		return res
-	case <-time.After(patience):
-		t.Fatal("nothing came")
+	case <-time.After(eventTimeout):
+		t.Fatalf("no result within %v", eventTimeout)
 	}
 	return engine.Result{}
 }
 
+// open returns a pool for the server at addr, and the state that it shares with no other.
 func open(addr string) (*pool.Pool, *pool.Shared) {
-	s := pooled()
+	s := newShared()
 	return pool.New(s, addr, Protocol{Host: addr}), s
 }
 
@@ -82,17 +85,17 @@
 
 const clientWait = time.Hour
 
-// masked puts a star in the place of a passed deadline that is right: all that is left but for the margin, which is a sixteenth, or a quarter
-// where the value travels in parts, and for the time that the test may have taken.
-func masked(list string, parts bool) string {
+// maskDeadline replaces a correct deadline in a property list by a star. The deadline must be the remaining time less the margin, which is a
+// sixteenth, or a quarter for a value in parts, and less the time that the test may have taken.
+func maskDeadline(list string, parts bool) string {
 	before, rest, _ := strings.Cut(list, "d=")
-	figure, after, _ := strings.Cut(rest, ",")
-	most := clientWait * 15 / 16
+	number, after, _ := strings.Cut(rest, ",")
+	maximum := clientWait * 15 / 16
 	if parts {
-		most = clientWait * 3 / 4
+		maximum = clientWait * 3 / 4
 	}
-	ms, err := strconv.ParseInt(figure, 10, 64)
-	if told := time.Duration(ms) * time.Millisecond; err != nil || told > most || told < most-2*patience {
+	ms, err := strconv.ParseInt(number, 10, 64)
+	if passed := time.Duration(ms) * time.Millisecond; err != nil || passed > maximum || passed < maximum-2*eventTimeout {
 		return list
 	}
 	return before + "d=*," + after
@@ -103,7 +106,7 @@
 func TestRequestsAreAsAgreed(t *testing.T) {
 	seen := make(chan string, 2)
 	addr := listen(t, func(_ int, r *http.Request, body string) string {
-		seen <- r.Method + " " + r.URL.Path + " " + r.Header.Get("X-Trace-Id") + " " + masked(r.Header.Get("X-Props"), false) + " " + body
+		seen <- r.Method + " " + r.URL.Path + " " + r.Header.Get("X-Trace-Id") + " " + maskDeadline(r.Header.Get("X-Props"), false) + " " + body
 		return ok
 	})
 	p, s := open(addr)
@@ -123,7 +126,7 @@
 	}
 }
 
-// Danger: a client library that sends a GET again by itself when a reused connection breaks makes a second push.
+// Guards against a client library that resends a GET when a reused connection breaks: the copy is a second push.
 func TestOriginIsNotAskedTwice(t *testing.T) {
 	asked := make(chan int, 10)
 	addr := listen(t, func(n int, _ *http.Request, _ string) string {
@@ -176,7 +179,7 @@
 			t.Errorf("%.60q: outcome %d, want %d (%v)", reply, res.Outcome, want, res.Err)
 		}
 		if want == policy.ConnectionLost && s.Open() != 0 {
-			t.Errorf("%.60q: the connection was kept", reply)
+			t.Errorf("%.60q: the connection stayed open", reply)
 		}
 	}
 }
@@ -185,48 +188,49 @@
 	addr := listen(t, func(n int, _ *http.Request, _ string) string {
 		return "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"
 	})
-	l, err := net.Listen("tcp", "127.0.0.1:0") // between the two, so that the connection ends after the half
+	l, err := net.Listen("tcp", "127.0.0.1:0") // proxies the connection and closes it after part of the body
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
 	go func() {
 		c, _ := l.Accept()
-		to, _ := net.Dial("tcp", addr)
-		go io.Copy(to, c)
-		io.CopyN(c, to, 42)
+		server, _ := net.Dial("tcp", addr)
+		go io.Copy(server, c)
+		io.CopyN(c, server, 42)
 		c.Close()
-		to.Close()
+		server.Close()
 	}()
 	p, _ := open(l.Addr().String())
 	res := ask(t, p, request("a"))
-	var f *pool.Fault
-	if res.Outcome != policy.ConnectionLost || !errors.As(res.Err, &f) || f.Progress != pool.AnswerBegun {
+	var f *pool.AttemptError
+	if res.Outcome != policy.ConnectionLost || !errors.As(res.Err, &f) || f.Progress != pool.ResponseStarted {
 		t.Errorf("%+v", res)
 	}
 }
 
-// Whatever comes: no panic, no value over the bound, none proved not to have run without the word for it.
+// FuzzRead checks for any input that the reader does not panic, returns no value over the limit, and reports a request as not executed only if the
+// response has the header for it.
 func FuzzRead(f *testing.F) {
 	for _, seed := range []string{ok, "HTTP/1.1 100 Continue\r\n\r\n" + ok, "HTTP/1.1 503 Busy\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n",
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3000000000\r\nv", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"} {
 		f.Add([]byte(seed))
 	}
 	f.Fuzz(func(t *testing.T, b []byte) {
-		a := Protocol{}.Answers(bytes.NewReader(b))
+		a := Protocol{}.NewResponseReader(bytes.NewReader(b))
 		if a.Wait() != nil {
 			return
 		}
-		res, keep, err := a.Read(request("a"))
-		if err != nil && (keep || res.Value != nil) || len(res.Value) > longest ||
+		res, keep, err := a.ReadResponse(request("a"))
+		if err != nil && (keep || res.Value != nil) || len(res.Value) > maxValueBytes ||
 			err == nil && res.Outcome == policy.Rejected && !bytes.Contains(bytes.ToLower(b), []byte("x-never-ran")) {
 			t.Errorf("%q: %+v, %v", b, res, err)
 		}
 	})
 }
 
-func pooled() *pool.Shared {
-	s := &pool.Shared{DialTimeout: patience, IdleTimeout: time.Minute, Log: zerolog.Nop()}
+func newShared() *pool.Shared {
+	s := &pool.Shared{DialTimeout: eventTimeout, IdleTimeout: time.Minute, Log: zerolog.Nop()}
 	s.MaxConnections.Store(10)
 	return s
 }
@@ -235,7 +239,7 @@
 	long := strings.Repeat("0123456789", 20000)
 	seen := make(chan string, 4)
 	addr := listen(t, func(n int, r *http.Request, body string) string {
-		seen <- fmt.Sprint(r.Method, " ", r.URL.Path, " ", r.Header.Get("X-Trace-Id"), " ", masked(r.Header.Get("X-Props"), r.Method == http.MethodPut), " ", len(body), " ", r.UserAgent())
+		seen <- fmt.Sprint(r.Method, " ", r.URL.Path, " ", r.Header.Get("X-Trace-Id"), " ", maskDeadline(r.Header.Get("X-Props"), r.Method == http.MethodPut), " ", len(body), " ", r.UserAgent())
 		if r.Method == http.MethodPut {
 			return ok
 		}
--- a/internal/pool/endings_test.go
+++ b/internal/pool/cancellation_test.go
@@ -21,22 +21,23 @@
 	"minttray/policy"
 )
 
-// shut is a server whose SYNs are not taken up before open is called; seen counts bytes that came over its connections, and
-// ups those connections but for the one that fills its queue.
-type shut struct {
-	addr      string
-	open      func()
-	serve     func(c net.Conn) // what it does with a connection once it is open
-	seen, ups atomic.Int64
+// backloggedServer is a server whose accept queue is full, so that no connection to it is established before open is called.
+type backloggedServer struct {
+	addr     string
+	open     func()
+	serve    func(c net.Conn) // handles each connection once the server is open
+	commands atomic.Int64     // received over its connections
+	accepted atomic.Int64     // connections accepted, without those that fill the queue
 }
 
-func shutServer(t *testing.T) *shut {
+// newBackloggedServer starts a server with a full accept queue.
+func newBackloggedServer(t *testing.T) *backloggedServer {
 	t.Helper()
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := os.NewFile(uintptr(fd), "shut")
+	f := os.NewFile(uintptr(fd), "backlogged server")
 	defer f.Close()
 	if err := unix.Bind(fd, &unix.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
 		t.Fatal(err)
@@ -49,29 +50,29 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { l.Close() })
-	s := &shut{addr: l.Addr().String()}
+	s := &backloggedServer{addr: l.Addr().String()}
 	s.serve = func(c net.Conn) {
 		for r := bufio.NewReader(c); ; {
 			if _, err := r.Peek(1); err != nil {
 				return
 			}
-			s.seen.Add(1)
+			s.commands.Add(1)
 			if _, err := command(r); err != nil {
 				return
 			}
 			io.WriteString(c, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
 		}
 	}
-	for full := false; !full; { // until a SYN is left in the air
+	for full := false; !full; { // until a SYN is not answered
 		c, err := net.DialTimeout("tcp", s.addr, 200*time.Millisecond)
 		if full = err != nil; !full {
 			t.Cleanup(func() { c.Close() })
-			s.ups.Add(-1)
+			s.accepted.Add(-1)
 		}
 	}
 	s.open = func() {
 		if raw, err := l.(*net.TCPListener).SyscallConn(); err == nil {
-			raw.Control(func(fd uintptr) { unix.Listen(int(fd), 1024) }) // all that knock come in together
+			raw.Control(func(fd uintptr) { unix.Listen(int(fd), 1024) }) // all pending connections are established together
 		}
 		go func() {
 			for {
@@ -79,7 +80,7 @@
 				if err != nil {
 					return
 				}
-				s.ups.Add(1)
+				s.accepted.Add(1)
 				go func() {
 					defer c.Close()
 					s.serve(c)
@@ -90,8 +91,8 @@
 	return s
 }
 
-// knocking counts connections to the server that are being made.
-func (s *shut) knocking(t *testing.T) (n int) {
+// dialing returns the number of connections to the server that are being established.
+func (s *backloggedServer) dialing(t *testing.T) (n int) {
 	t.Helper()
 	text, err := os.ReadFile("/proc/net/tcp")
 	if err != nil {
@@ -108,71 +109,72 @@
 	return n
 }
 
-const long = 6 * patience // a SYN that is left in the air is sent again after 1, 3, 7, 15 and 31 s
+// slowEventTimeout exceeds the retransmission times of an unanswered SYN: 1, 3, 7, 15 and 31 s.
+const slowEventTimeout = 6 * eventTimeout
 
-// until waits for an event; no verdict hangs on how long that takes.
-func until(t *testing.T, what string, is func() bool) {
+// until waits for an event; no assertion depends on how long that takes.
+func until(t *testing.T, event string, happened func() bool) {
 	t.Helper()
-	for late := time.Now().Add(long); !is(); time.Sleep(20 * time.Millisecond) {
-		if time.Now().After(late) {
-			t.Fatalf("not %s", what)
+	for limit := time.Now().Add(slowEventTimeout); !happened(); time.Sleep(20 * time.Millisecond) {
+		if time.Now().After(limit) {
+			t.Fatalf("event did not happen: %s", event)
 		}
 	}
 }
 
-// Danger: a push whose connection is still coming up when it is given up, or when its client leaves, is written as the connection
-// is up, seconds later. All of them are forced: not one connection is up before all clients have left.
+// Guards against a push that is written seconds after it was aborted, or after its client disconnected, because its connection was still
+// being established. No connection is established before all pushes have ended.
 func TestNothingIsWrittenOnceTheConnectionIsUp(t *testing.T) {
 	const many = 300
-	for name, end := range map[string]func(r *engine.Request, giveUp func(engine.AbortCondition) bool) bool{
-		"taken back":          func(_ *engine.Request, giveUp func(engine.AbortCondition) bool) bool { return giveUp(engine.IfUnwritten) },
-		"given up":            func(_ *engine.Request, giveUp func(engine.AbortCondition) bool) bool { return giveUp(engine.Always) },
-		"its client has left": func(r *engine.Request, _ func(engine.AbortCondition) bool) bool { r.Abandon(); return true },
+	for name, end := range map[string]func(r *engine.Request, abort func(engine.AbortCondition) bool) bool{
+		"aborted as unwritten": func(_ *engine.Request, abort func(engine.AbortCondition) bool) bool { return abort(engine.IfUnwritten) },
+		"aborted":              func(_ *engine.Request, abort func(engine.AbortCondition) bool) bool { return abort(engine.Always) },
+		"client disconnected":  func(r *engine.Request, _ func(engine.AbortCondition) bool) bool { r.Abandon(); return true },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			server := shutServer(t)
+			server := newBackloggedServer(t)
 			s := shared()
-			s.DialTimeout = long
+			s.DialTimeout = slowEventTimeout
 			s.MaxConnections.Store(2 * many)
 			p := pool.New(s, server.addr, caches.Protocol{})
 			t.Cleanup(p.Retire)
 			var ended []chan engine.Result
 			var ends []func() bool
-			before := server.knocking(t)
+			before := server.dialing(t)
 			for i := range many {
 				r := request(fmt.Sprint("id", i))
-				results, giveUp := push(p, r)
-				ended, ends = append(ended, results), append(ends, func() bool { return end(r, giveUp) })
+				results, abort := push(p, r)
+				ended, ends = append(ended, results), append(ends, func() bool { return end(r, abort) })
 			}
-			until(t, "under way", func() bool { return server.knocking(t) >= before+many })
+			until(t, "all connections dialing", func() bool { return server.dialing(t) >= before+many })
 			for _, end := range ends {
 				if !end() {
-					t.Error("not given up, though nothing is written")
+					t.Error("push not aborted, though nothing was written")
 				}
 			}
 			server.open()
-			until(t, "up", func() bool { return server.ups.Load() >= many })
-			if name == "its client has left" {
+			until(t, "all connections established", func() bool { return server.accepted.Load() >= many })
+			if name == "client disconnected" {
 				for _, results := range ended {
 					if r := wait(t, results); r.Outcome != policy.NotSent {
 						t.Errorf("%+v", r)
 					}
 				}
 			}
-			results, _ := push(p, request("last")) // the way is open, and the count counts
-			if r := wait(t, results); r.Outcome != policy.Acked || server.seen.Load() != 1 {
-				t.Errorf("%+v; %d commands were written", r, server.seen.Load())
+			results, _ := push(p, request("last")) // shows that the server is reachable and counts commands
+			if r := wait(t, results); r.Outcome != policy.Acked || server.commands.Load() != 1 {
+				t.Errorf("%+v; %d commands were written", r, server.commands.Load())
 			}
 		})
 	}
 }
 
-// Danger: a connection that the server has ended is found so as the push is about to be written; the push goes over another, which
-// takes its time, and would be written after its end.
+// Guards against a push that is written after its client has disconnected because the connection that it was assigned to turned out to
+// be closed by the server, and a new one took time to establish.
 func TestNothingIsWrittenBehindAStaleConnection(t *testing.T) {
 	var second atomic.Bool
-	held, seen := make(chan bool), make(chan string, 9)
+	closeFirst, seen := make(chan bool), make(chan string, 9)
 	addr := listen(t, func(n int, c net.Conn) {
 		r := bufio.NewReader(c)
 		if n > 0 {
@@ -186,7 +188,7 @@
 			seen <- words[2]
 			io.WriteString(c, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
 			if n == 0 {
-				<-held // it ends now
+				<-closeFirst
 				return
 			}
 		}
@@ -196,13 +198,13 @@
 	results, _ := push(p, request("a"))
 	wait(t, results)
 	wait(t, seen)
-	close(held)
-	settled()
+	close(closeFirst)
+	waitUntilReusable()
 	r := request("b")
 	r.Abandon()
 	results, _ = push(p, r)
-	if res := wait(t, results); res.Outcome != policy.NotSent || s.Stale.Load() != 1 {
-		t.Errorf("%+v, %d stale", res, s.Stale.Load())
+	if res := wait(t, results); res.Outcome != policy.NotSent || s.StaleConns.Load() != 1 {
+		t.Errorf("%+v, %d stale", res, s.StaleConns.Load())
 	}
 	results, _ = push(p, request("c"))
 	if res := wait(t, results); res.Outcome != policy.Acked {
@@ -213,10 +215,10 @@
 	}
 }
 
-// Danger: a cache sends an answer twice, the second time some milliseconds later, and the connection serves another op by then: that
-// would be given the value of the first. The second push is made while the connection has rested for 3 to 8 ms: since before the first answer came
-// here, and since after it was written there. The second copy is held until that push has been written somewhere.
-func TestASecondAnswerThatComesLateIsNobodysElse(t *testing.T) {
+// Guards against a duplicate response that arrives some milliseconds late, when the connection already serves another op, which would
+// receive the first op's value. The second push is made when the connection has been idle for 3 to 8 ms, measured from before the first
+// response arrived here and from after it was written there. The duplicate is held back until that push has been written.
+func TestLateDuplicateResponseIsNotUsedForAnotherOp(t *testing.T) {
 	const from, to = 3 * time.Millisecond, 8 * time.Millisecond
 	written, again, answer, answered := make(chan string, 9), make(chan bool), make(chan bool), make(chan time.Time, 9)
 	addr := listen(t, func(n int, c net.Conn) {
@@ -237,7 +239,7 @@
 			value()
 		}
 	})
-	for late := time.Now().Add(patience); time.Now().Before(late); {
+	for limit := time.Now().Add(eventTimeout); time.Now().Before(limit); {
 		p := pool.New(shared(), addr, caches.Protocol{})
 		results, _ := push(p, request("first"))
 		wait(t, results)
@@ -247,19 +249,19 @@
 		late := time.Since(wait(t, answered)) > to
 		wait(t, written)
 		again <- true
-		settled()
+		waitUntilReusable()
 		answer <- true
 		if res := wait(t, results); string(res.Value) != "other" && !late {
-			t.Fatalf("the other op was given the value of %q", res.Value)
+			t.Fatalf("the other op received the value of %q", res.Value)
 		} else if !late {
 			return
 		}
 	}
-	t.Fatal("no second push was made in time: nothing is shown")
+	t.Fatal("no second push was made within the time window: the test is inconclusive")
 }
 
-// Danger: a push is written on a connection that the server ends for having been idle just then; it may have run. One that is about to be
-// ended so is left alone, though Sweep has not come to it.
+// Guards against a push that is written while the server closes the connection as idle, and so may have been executed. A connection close to
+// the idle timeout must not be used, even if CloseExpired has not visited it yet.
 func TestAConnectionAboutToEndForBeingIdleIsNotUsed(t *testing.T) {
 	addr := listen(t, func(n int, c net.Conn) {
 		for r := bufio.NewReader(c); ; {
@@ -277,22 +279,22 @@
 		if res := wait(t, results); res.Outcome != policy.Acked {
 			t.Errorf("%+v", res)
 		}
-		settled()
+		waitUntilReusable()
 	}
 	ask("a")
 	ask("b")
 	if s.Opened.Load() != 1 || s.Reused.Load() != 1 {
-		t.Errorf("%d opened, %d used again", s.Opened.Load(), s.Reused.Load())
+		t.Errorf("%d connections opened, %d reused", s.Opened.Load(), s.Reused.Load())
 	}
-	s.SetTimeouts(patience, 20*time.Millisecond) // the server has closed it by now, or is about to: it has rested for as long
+	s.SetTimeouts(eventTimeout, 20*time.Millisecond) // the connection has been idle for that long, so the server has closed it or is about to
 	ask("c")
 	if s.Opened.Load() != 2 || s.Reused.Load() != 1 {
-		t.Errorf("%d opened, %d used again", s.Opened.Load(), s.Reused.Load())
+		t.Errorf("%d connections opened, %d reused", s.Opened.Load(), s.Reused.Load())
 	}
 }
 
-// deaf is a server that takes hardly a byte before it is let: its system has room for a few KiB alone.
-func deaf(t *testing.T, serve func(c net.Conn)) string {
+// listenWithSmallBuffer starts a server whose kernel buffers only a few KiB of each connection.
+func listenWithSmallBuffer(t *testing.T, serve func(c net.Conn)) string {
 	t.Helper()
 	config := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
 		return c.Control(func(fd uintptr) { unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_RCVBUF, 2<<10) })
@@ -317,23 +319,23 @@
 	return l.Addr().String()
 }
 
-// Danger: a push that is given up lies in our system's buffer still, for a server that hangs or is cut off, and is sent as that is back:
-// behind its op's final answer, and behind the window in which a repeat is dropped. Nothing is read there before the push is given up.
-func TestWhatIsGivenUpDoesNotComeLater(t *testing.T) {
-	const kept = 512 << 10 // that our system takes whole; ten times of it, it does not
+// Guards against an aborted push that remains in the send buffer for a server that hangs or is disconnected, and is delivered when the server
+// recovers: after its op's final reply, and after the window in which a duplicate is dropped. The server reads nothing before the abort.
+func TestAbortedPushIsNotDeliveredLater(t *testing.T) {
+	const bufferedBytes = 512 << 10 // fits into the send buffer; ten times as much does not
 	for name, c := range map[string]struct {
 		size int
 		when engine.AbortCondition
 	}{
-		"all of it in our system's buffer":                      {kept, engine.Always},
-		"all of it in our system's buffer, and its time is up":  {kept, engine.IfUnsent},
-		"part of it in our system's buffer":                     {64 * kept, engine.Always},
-		"part of it in our system's buffer, and its time is up": {64 * kept, engine.IfUnsent},
+		"all of it in the send buffer":                     {bufferedBytes, engine.Always},
+		"all of it in the send buffer, retry window over":  {bufferedBytes, engine.IfUnsent},
+		"part of it in the send buffer":                    {64 * bufferedBytes, engine.Always},
+		"part of it in the send buffer, retry window over": {64 * bufferedBytes, engine.IfUnsent},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			begun, read, got := make(chan bool), make(chan bool), make(chan int64)
-			addr := deaf(t, func(c net.Conn) {
+			addr := listenWithSmallBuffer(t, func(c net.Conn) {
 				r := bufio.NewReaderSize(c, 16)
 				r.Peek(1)
 				begun <- true
@@ -346,24 +348,24 @@
 			p := pool.New(s, addr, caches.Protocol{})
 			r := request("a")
 			r.Write, r.Parts = true, [][]byte{make([]byte, c.size)}
-			_, giveUp := push(p, r)
+			_, abort := push(p, r)
 			wait(t, begun)
-			if c.size == kept {
+			if c.size == bufferedBytes {
 				wait(t, whole)
 			}
-			if !giveUp(c.when) {
-				t.Error("not given up")
+			if !abort(c.when) {
+				t.Error("not aborted")
 			}
 			close(read)
 			if n := wait(t, got); n >= int64(c.size) {
-				t.Errorf("%d bytes of it came all the same", n)
+				t.Errorf("%d bytes of it were delivered", n)
 			}
 		})
 	}
 }
 
-// What has come to the server's system runs on, though its time for repeats is up.
-func TestWhatHasComeIsNoLongerUnsent(t *testing.T) {
+// A push that the server's kernel has acknowledged is not aborted as unsent, even when the retry window is over.
+func TestDeliveredPushIsNotAbortedAsUnsent(t *testing.T) {
 	read, answer := make(chan bool), make(chan bool)
 	addr := listen(t, func(n int, c net.Conn) {
 		r := bufio.NewReader(c)
@@ -377,11 +379,11 @@
 	s, whole := shared(), make(chan bool, 1)
 	s.OnAttemptWritten = func() { whole <- true }
 	p := pool.New(s, addr, caches.Protocol{})
-	results, giveUp := push(p, request("a"))
+	results, abort := push(p, request("a"))
 	wait(t, read)
 	wait(t, whole)
-	if giveUp(engine.IfUnsent) {
-		t.Error("given up")
+	if abort(engine.IfUnsent) {
+		t.Error("aborted")
 	}
 	close(answer)
 	if r := wait(t, results); r.Outcome != policy.Acked {
@@ -389,7 +391,7 @@
 	}
 }
 
-// Danger: a process that ends, and goes on for whatever reason, keeps descriptors, and the servers' places, for nobody.
+// Guards against a process that shuts down slowly and keeps idle connections, which occupy descriptors here and at the servers.
 func TestNoIdleConnectionIsKeptAtTheEnd(t *testing.T) {
 	s := shared()
 	for i := range 3 {
--- a/internal/pool/conn.go
+++ b/internal/pool/conn.go
@@ -12,184 +12,188 @@
 	"minttray/policy"
 )
 
-// conn is one connection. Its one goroutine writes an attempt and reads its answer; what comes while nothing is out is
-// found by look before the next attempt is written.
+// conn is one connection. A single goroutine writes each attempt and reads its response. Data that arrives while no attempt is
+// pending is detected by checkIdle before the next attempt is written.
 type conn struct {
-	pool    *Pool
-	nc      net.Conn
-	answers Answers
-	work    chan *attempt
-	out     []byte // what was last written; the goroutine's
-	used    bool   // has served an attempt; the goroutine's
+	pool      *Pool
+	netConn   net.Conn
+	responses ResponseReader
+	attempts  chan *attempt // the attempt to serve next; closed with the connection
 
-	// Under the pool's mutex.
-	attempt *attempt      // nil: idle, or closed
-	since   time.Time     // idle
-	place   *list.Element // among the idle ones of all pools; nil: it is not idle
-	gone    bool
+	// Used by the serving goroutine only.
+	writeBuffer []byte // the last request written
+	hasServed   bool   // whether an attempt has been served
+
+	// Guarded by the pool's mutex.
+	attempt     *attempt      // nil: idle or closed
+	idleSince   time.Time     // valid while idle
+	idleElement *list.Element // in the idle list of all pools; nil: not idle
+	closed      bool
 }
 
-// stage is how far an attempt has come.
+// stage is how far an attempt has been written.
 type stage uint8
 
 const (
-	waiting stage = iota // for a connection: nothing of it is written
-	writing
-	written // our system has all of it
+	stageWaiting stage = iota // for a connection: nothing is written
+	stageWriting
+	stageWritten // the kernel has accepted all of it
 )
 
 // attempt is one attempt of a request at the pool's server.
 type attempt struct {
-	request *engine.Request
-	until   time.Time
-	done    func(engine.Result)
+	request          *engine.Request
+	responseDeadline time.Time           // how long the response is waited for
+	complete         func(engine.Result) // reports the result
 
-	// Under the pool's mutex.
-	on        *conn
+	// Guarded by the pool's mutex.
+	conn      *conn
 	stage     stage
 	cancelled bool
 }
 
-// take hands an attempt to a connection; the pool's mutex is held.
-func (c *conn) take(a *attempt) {
-	c.attempt, a.on = a, c
-	c.work <- a // never blocks: one attempt at a time, and room for one
+// assign hands an attempt to a connection. The caller holds the pool's mutex.
+func (c *conn) assign(a *attempt) {
+	c.attempt, a.conn = a, c
+	c.attempts <- a // never blocks: a connection has one attempt at a time, and the channel has room for one
 }
 
-// abort closes a connection and has our system throw away what it still holds for the server; the pool's mutex is held. Danger: a
-// server that hangs, or is cut off, would get that once it is back, long after the request's end.
+// abort closes a connection and makes the kernel discard the unsent data. Otherwise a server that hangs or is disconnected would
+// receive the request when it recovers, long after the request has ended. The caller holds the pool's mutex.
 func (c *conn) abort() {
-	if tcp, ok := c.nc.(*net.TCPConn); ok {
+	if tcp, ok := c.netConn.(*net.TCPConn); ok {
 		tcp.SetLinger(0)
 	}
 	c.close()
 }
 
-// close closes a connection for good; the pool's mutex is held.
+// close closes a connection. Further calls have no effect. The caller holds the pool's mutex.
 func (c *conn) close() {
-	if c.gone {
+	if c.closed {
 		return
 	}
-	c.gone = true
-	c.pool.shared.idle.remove(c)
-	for i, o := range c.pool.idle {
-		if o == c {
+	c.closed = true
+	c.pool.shared.idleConns.remove(c)
+	for i, idle := range c.pool.idle {
+		if idle == c {
 			c.pool.idle = append(c.pool.idle[:i], c.pool.idle[i+1:]...)
 			break
 		}
 	}
-	c.nc.Close()
-	close(c.work)
-	c.pool.shared.open.Add(-1)
+	c.netConn.Close()
+	close(c.attempts)
+	c.pool.shared.openConns.Add(-1)
 }
 
-// rest puts a connection with nothing out back; the pool's mutex is held.
-func (c *conn) rest() {
+// makeIdle returns a connection without a pending attempt to the pool, or closes it if the pool is retired. The caller holds the pool's
+// mutex.
+func (c *conn) makeIdle() {
 	c.attempt = nil
 	if c.pool.retired {
 		c.close()
 		return
 	}
-	c.since = time.Now()
+	c.idleSince = time.Now()
 	c.pool.idle = append(c.pool.idle, c)
-	c.pool.shared.idle.add(c)
+	c.pool.shared.idleConns.add(c)
 }
 
 var (
-	errUnasked   = errors.New("an answer to nothing")
-	errPanic     = errors.New("panic")
-	errCancelled = errors.New("cancelled before it was written")
+	errUnsolicitedData = errors.New("data received while no request was pending")
+	errPanic           = errors.New("panic")
+	errCancelled       = errors.New("cancelled before it was written")
+	errNotDelivered    = errors.New("the server's system did not acknowledge the last byte of the request in time")
 )
 
-// serve takes one attempt to its end.
+// serve processes one attempt from its request to the end of its response.
 func (c *conn) serve(a *attempt) {
-	how := PartWritten
+	progress := PartlyWritten
 	defer func() {
-		if fault := recover(); fault != nil {
-			c.pool.panicked(fault)
-			c.end(a, how, errPanic)
+		if recovered := recover(); recovered != nil {
+			c.pool.recordPanic(recovered)
+			c.closeAndFail(a, progress, errPanic)
 		}
 	}()
-	if c.stale() {
-		c.replace(a)
+	if c.isStale() {
+		c.replaceStale(a)
 		return
 	}
-	c.used = true
-	if !c.begin(a) {
-		c.end(a, how, errCancelled)
+	c.hasServed = true
+	if !c.beginWrite(a) {
+		c.closeAndFail(a, progress, errCancelled)
 		return
 	}
 	passed, err := c.send(a)
 	if errors.Is(err, deadline.ErrNoTime) {
-		c.unsent(a, err)
+		c.failUnsent(a, err)
 		return
 	}
 	if err != nil {
-		c.end(a, how, err)
+		c.closeAndFail(a, progress, err)
 		return
 	}
-	how = WholeWritten
-	c.written(a)
-	if err := c.wait(a, passed); err != nil {
-		c.end(a, how, err)
+	progress = FullyWritten
+	c.markWritten(a)
+	if err := c.awaitResponse(a, passed); err != nil {
+		c.closeAndFail(a, progress, err)
 		return
 	}
-	how = AnswerBegun
-	res, keep, err := c.receive(a)
+	progress = ResponseStarted
+	res, keep, err := c.readResponse(a)
 	if err != nil {
-		c.end(a, how, err)
+		c.closeAndFail(a, progress, err)
 		return
 	}
 	if res.Body.Size == 0 {
 		c.release(a, keep)
-		a.done(res)
+		a.complete(res)
 		return
 	}
-	c.release(a, c.pass(a, res))
+	c.release(a, c.streamValue(a, res))
 }
 
-// stale tells whether a connection that has served before was ended by its server, or holds what nobody asked for: an answer from
-// there could be another request's.
-func (c *conn) stale() bool { return c.used && c.look() != nil }
+// isStale reports whether a connection that has served an attempt was closed by its server or holds unsolicited data, which could be the
+// response to another request.
+func (c *conn) isStale() bool { return c.hasServed && c.checkIdle() != nil }
 
-// replace sends an attempt, of which nothing has been written, over another connection than a stale one.
-func (c *conn) replace(a *attempt) {
+// replaceStale closes a stale connection and dispatches its attempt, of which nothing has been written, to another one.
+func (c *conn) replaceStale(a *attempt) {
 	p := c.pool
-	p.shared.Stale.Add(1)
+	p.shared.StaleConns.Add(1)
 	p.mu.Lock()
-	c.attempt, a.on = nil, nil
+	c.attempt, a.conn = nil, nil
 	c.close()
 	p.mu.Unlock()
-	p.start(a)
+	p.dispatch(a)
 }
 
-// begin tells whether an attempt is still wanted, and has it count as written from here on. Its client may have left while the
-// engine is behind: what has not begun does not begin any more.
-func (c *conn) begin(a *attempt) bool {
+// beginWrite marks an attempt as being written and returns true, or returns false if it is no longer wanted: it was cancelled, or its
+// client has disconnected and the engine has not processed that yet.
+func (c *conn) beginWrite(a *attempt) bool {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
 	if a.cancelled || a.request.Abandoned() {
 		return false
 	}
-	a.stage = writing
+	a.stage = stageWriting
 	return true
 }
 
-// written notes that our system has all of an attempt.
-func (c *conn) written(a *attempt) {
+// markWritten records that the kernel has accepted all of an attempt.
+func (c *conn) markWritten(a *attempt) {
 	c.pool.mu.Lock()
-	a.stage = written
+	a.stage = stageWritten
 	c.pool.mu.Unlock()
 	if c.pool.shared.OnAttemptWritten != nil && !a.request.Probe {
 		c.pool.shared.OnAttemptWritten()
 	}
 }
 
-// receive reads an attempt's answer, of which a byte is there.
-func (c *conn) receive(a *attempt) (res engine.Result, keep bool, err error) {
-	res, keep, err = c.answers.Read(a.request)
-	if errors.Is(err, ErrSpoilt) {
-		c.pool.shared.Spoilt.Add(1)
+// readResponse reads an attempt's response, of which at least a byte has arrived.
+func (c *conn) readResponse(a *attempt) (res engine.Result, keep bool, err error) {
+	res, keep, err = c.responses.ReadResponse(a.request)
+	if errors.Is(err, ErrInvalidResponse) {
+		c.pool.shared.InvalidResponses.Add(1)
 	}
 	if err == nil && res.Outcome == policy.Errored && res.Err == nil {
 		res.Err = errors.New("error from " + c.pool.addr)
@@ -197,61 +201,60 @@
 	return res, keep, err
 }
 
-// release ends an attempt's hold on its connection, which serves others where it may be kept.
+// release detaches an attempt from its connection, which becomes idle if it can be reused and is closed otherwise.
 func (c *conn) release(a *attempt, keep bool) {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
 	if c.attempt != a {
 		return
 	}
-	if keep && c.answers.Rest() == 0 && !c.gone {
-		c.rest()
+	if keep && c.responses.Buffered() == 0 && !c.closed {
+		c.makeIdle()
 		return
 	}
 	c.attempt = nil
 	c.close()
 }
 
-var errUndelivered = errors.New("its last byte did not come to the server in time")
-
-// wait waits for the first byte of the answer. Danger: of a value in parts much may lie in our system's buffer, for a server that hangs, and
-// would come there with a deadline that is longer than what is left by then: so it is thrown away as that begins.
-func (c *conn) wait(a *attempt, passed deadline.AttemptDeadline) error {
+// awaitResponse waits for the first byte of the response. Much of a value in parts may still be in the kernel's send buffer for a
+// server that hangs. It would arrive with a deadline that exceeds the client's remaining time, so the attempt is aborted if
+// data is unacknowledged when that deadline begins to be too long.
+func (c *conn) awaitResponse(a *attempt, passed deadline.AttemptDeadline) error {
 	if len(a.request.Parts) == 0 {
-		return c.answers.Wait()
+		return c.responses.Wait()
 	}
-	c.nc.SetReadDeadline(passed.WriteBy())
-	err := c.answers.Wait()
+	c.netConn.SetReadDeadline(passed.WriteBy())
+	err := c.responses.Wait()
 	if !errors.Is(err, os.ErrDeadlineExceeded) {
-		c.nc.SetReadDeadline(time.Time{})
+		c.netConn.SetReadDeadline(time.Time{})
 		return err
 	}
 	c.pool.mu.Lock()
-	if c.holds() {
+	if c.hasUnackedData() {
 		c.abort()
 		c.pool.mu.Unlock()
-		return errUndelivered
+		return errNotDelivered
 	}
 	c.pool.mu.Unlock()
-	c.nc.SetReadDeadline(time.Time{})
-	return c.answers.Wait()
+	c.netConn.SetReadDeadline(time.Time{})
+	return c.responses.Wait()
 }
 
-// unsent tells that nothing of an attempt was written; its connection serves others.
-func (c *conn) unsent(a *attempt, err error) {
+// failUnsent reports that nothing of an attempt was written. Its connection becomes idle.
+func (c *conn) failUnsent(a *attempt, err error) {
 	c.pool.mu.Lock()
-	if c.attempt == a && !c.gone {
-		c.rest()
+	if c.attempt == a && !c.closed {
+		c.makeIdle()
 	}
 	c.pool.mu.Unlock()
-	c.pool.fail(a, PartWritten, err)
+	c.pool.fail(a, PartlyWritten, err)
 }
 
-// end closes the connection and tells what became of the attempt that was out on it.
-func (c *conn) end(a *attempt, how Progress, err error) {
+// closeAndFail closes the connection and reports the failure of its attempt.
+func (c *conn) closeAndFail(a *attempt, progress Progress, err error) {
 	c.pool.mu.Lock()
 	c.attempt = nil
 	c.close()
 	c.pool.mu.Unlock()
-	c.pool.fail(a, how, err)
+	c.pool.fail(a, progress, err)
 }
--- a/internal/pool/deadline_test.go
+++ b/internal/pool/deadline_test.go
@@ -25,32 +25,33 @@
 	"minttray/policy"
 )
 
-// A client sends one request to a front, and a scripted module sends it on in several attempts, over real sockets. Each server writes
-// down the deadline that an attempt passed to it, and when the attempt was whole there.
+// In these tests a client sends one request to a front, and a scripted module forwards it in several attempts over real sockets. Each server
+// records the deadline that an attempt passed on, and the time at which the attempt had arrived completely.
 const (
-	clientWait = 20 * time.Second       // what the client passes as its own deadline
-	held       = 500 * time.Millisecond // used up before the attempt that is judged: well over the slack
-	tolerance  = 150 * time.Millisecond // the operators' slack on a passed deadline
+	clientWait    = 20 * time.Second       // the deadline that the client sends
+	elapsedBefore = 500 * time.Millisecond // time used up before the judged attempt: well over the tolerance
+	tolerance     = 150 * time.Millisecond // the operators' tolerance for a passed deadline
 
-	longValue = 300 << 10 // bytes: passed on in parts
+	longValue = 300 << 10 // bytes: forwarded in parts
 )
 
 const (
-	firstCache  uint32 = iota + 1 // takes the attempt before the one that is judged
-	judgedCache                   // takes the attempt that is judged
+	firstCache  uint32 = iota + 1 // receives the attempt before the judged one
+	judgedCache                   // receives the judged attempt
 	originID
 )
 
-// attempt is what a server saw of one attempt.
+// attempt is one attempt as a server received it.
 type attempt struct {
-	id, list string // the request's id; its names and values
-	whole    time.Time
+	id         string    // of the request
+	properties string    // name=value,name=value
+	arrivedAt  time.Time // of the last byte
 }
 
-// told is the deadline that an attempt passed to its server.
-func (a attempt) told(t *testing.T) time.Duration {
+// passedDeadline returns the deadline that an attempt passed to its server.
+func (a attempt) passedDeadline(t *testing.T) time.Duration {
 	t.Helper()
-	for _, pair := range strings.Split(a.list, ",") {
+	for _, pair := range strings.Split(a.properties, ",") {
 		if name, value, _ := strings.Cut(pair, "="); name == "d" {
 			ms, err := strconv.ParseFloat(value, 64)
 			if err != nil {
@@ -59,17 +60,17 @@
 			return time.Duration(ms * float64(time.Millisecond))
 		}
 	}
-	t.Fatalf("no deadline was passed: %q", a.list)
+	t.Fatalf("no deadline was passed: %q", a.properties)
 	return 0
 }
 
-// wire is how a stand-in reads requests and answers them.
-type wire struct {
+// serverProtocol is how a stub server reads requests and responds to them.
+type serverProtocol struct {
 	read                  func(r *bufio.Reader) (attempt, error)
 	served, missed, error string
 }
 
-var cacheWire = wire{
+var cacheProtocol = serverProtocol{
 	read: func(r *bufio.Reader) (attempt, error) {
 		words, err := command(r)
 		if err != nil {
@@ -80,7 +81,7 @@
 	served: "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n", missed: "*3\r\n$-1\r\n$-1\r\n$-1\r\n", error: "-ERR failed\r\n",
 }
 
-var originWire = wire{
+var originProtocol = serverProtocol{
 	read: func(r *bufio.Reader) (attempt, error) {
 		request, err := http.ReadRequest(r)
 		if err != nil {
@@ -94,18 +95,18 @@
 	served: "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nv", error: "HTTP/1.1 500 failed\r\nContent-Length: 0\r\n\r\n",
 }
 
-// standIn is one server: it reports each attempt, and answers as it is told to; "" ends the connection.
-type standIn struct {
-	wire
+// stubServer reports each attempt on seen and sends the next of answers; "" closes the connection.
+type stubServer struct {
+	serverProtocol
 	seen    chan attempt
 	answers chan string
 }
 
-func newStandIn(w wire) *standIn {
-	return &standIn{w, make(chan attempt, 16), make(chan string, 16)}
+func newStubServer(protocol serverProtocol) *stubServer {
+	return &stubServer{protocol, make(chan attempt, 16), make(chan string, 16)}
 }
 
-func (s *standIn) serve(c net.Conn) {
+func (s *stubServer) serve(c net.Conn) {
 	defer c.Close()
 	for r := bufio.NewReader(c); ; {
 		a, err := s.read(r)
@@ -124,12 +125,12 @@
 // step is one attempt of a script.
 type step struct {
 	to    uint32
-	delay time.Duration // before it begins, counted from when its turn came
-	wait  time.Duration // for its answer; 0: as long as the client waits
-	hedge time.Duration // after so long the next step is taken beside it; 0: it is not hedged
+	delay time.Duration // before the attempt starts
+	wait  time.Duration // limit for the response; 0: the client's deadline
+	hedge time.Duration // time after which the next step starts in parallel; 0: no hedge
 }
 
-// script is a decision module that takes given steps for each request, whatever comes of them.
+// script is a decision module that takes fixed steps for each request, whatever their results.
 type script struct {
 	engine.Module
 	host  policy.Host
@@ -150,7 +151,7 @@
 
 func (s *script) OpArrived(id uint32, _ uint64, _, _ int, _, _ bool, _ policy.Time) { s.advance(id) }
 
-// advance takes a request's next step, or fails the request.
+// advance takes a request's next step, after its delay, or fails the request if none is left.
 func (s *script) advance(id uint32) {
 	steps := s.steps[id-1]
 	if s.next[id] == len(steps) {
@@ -187,17 +188,17 @@
 	s.advance(id)
 }
 
-type noCatalog struct{}
+type stubCatalog struct{}
 
-func (noCatalog) Watch(bool) {}
+func (stubCatalog) Watch(bool) {}
 
-// proxy puts a front, an engine and pools round a script; it gives the address for clients.
+// proxy starts a front and an engine with pools for a script, and returns the address for clients.
 func proxy(t *testing.T, s *script, servers map[uint32]string) string {
 	t.Helper()
 	const originKind = 1
 	rules := policy.Settings{Categories: []policy.Category{{TTL: units(time.Hour)}}, MostPushes: 5, Tick: 50, OriginKind: originKind}
 	common := shared()
-	common.DialTimeout = long
+	common.DialTimeout = slowEventTimeout
 	s.next = map[uint32]int{}
 	e := engine.New(engine.Options{Settings: rules, Logger: zerolog.Nop(), MaxOps: 100, MaxBytes: 1 << 30,
 		Module: func(_ policy.Settings, _ uint64, h policy.Host) engine.Module { s.host = h; return s },
@@ -215,13 +216,13 @@
 		}
 		members = append(members, m)
 	}
-	e.Start(noCatalog{}, members)
+	e.Start(stubCatalog{}, members)
 	stop, stopped := make(chan struct{}), make(chan struct{})
 	go func() { e.Run(stop); close(stopped) }()
 	t.Cleanup(func() { close(stop); <-stopped })
-	book := figures.New()
-	names := front.NewNameTable(settings.Settings{Categories: []string{"read"}, Policy: rules}, book)
-	f := &front.Server{Engine: e, Metrics: book, Names: names, MaxPendingBytes: 1 << 30, MaxLongValueBytes: 1 << 30, Log: zerolog.Nop()}
+	metrics := figures.New()
+	names := front.NewNameTable(settings.Settings{Categories: []string{"read"}, Policy: rules}, metrics)
+	f := &front.Server{Engine: e, Metrics: metrics, Names: names, MaxPendingBytes: 1 << 30, MaxLongValueBytes: 1 << 30, Log: zerolog.Nop()}
 	f.MaxConns.Store(100)
 	if err := f.Listen("127.0.0.1:0", false); err != nil {
 		t.Fatal(err)
@@ -231,12 +232,12 @@
 	return f.Addr()
 }
 
-// properties are a request's names and values, with the deadline in their midst.
+// properties returns a request's property list, with the deadline in the middle.
 func properties(wait string) string { return "c=read,size=3,d=" + wait + ",t=acme,x0=d" }
 
 var clientMilliseconds = strconv.FormatInt(clientWait.Milliseconds(), 10)
 
-// send writes one request to a proxy, and gives the moment ahead of its first byte.
+// send writes one request to a proxy, and returns the time before its first byte.
 func send(t *testing.T, c net.Conn, id string, value string, write bool) time.Time {
 	t.Helper()
 	words := []string{"CACHE.GET", "key", id, properties(clientMilliseconds)}
@@ -254,7 +255,7 @@
 	return at
 }
 
-// lateness measures how late this machine runs a goroutine that is due: a server that is not run can't be told in time.
+// lateness measures the scheduling delay of this machine: a server that is not scheduled records the arrival late.
 func lateness() (worst func() time.Duration) {
 	const every = 5 * time.Millisecond
 	stop, done := make(chan struct{}), make(chan time.Duration)
@@ -274,40 +275,42 @@
 	return func() time.Duration { close(stop); return <-done }
 }
 
-// passAll hands a connection to a serve function for each that comes.
-func passAll(t *testing.T, serve func(c net.Conn)) string {
+// listenAll starts a server that calls serve for each connection.
+func listenAll(t *testing.T, serve func(c net.Conn)) string {
 	return listen(t, func(_ int, c net.Conn) { serve(c) })
 }
 
-// Danger: an attempt passes the client's own deadline on, though part of it is over. Each crossing uses up more than the slack ahead of
-// the attempt that is judged; what that attempt passes must be at most what is left then, and nearly as much.
+// Guards against an attempt that passes on the client's original deadline although part of it has elapsed. Each case uses up more time than the
+// tolerance before the judged attempt, which must pass on at most the remaining time, and nearly all of it.
 func TestNoAttemptPassesMoreThanIsLeft(t *testing.T) {
-	type crossing struct {
+	type testCase struct {
 		steps func(to uint32) []step
-		first func(s *standIn) string // the first server's answer, once the time is used up; nil: it is not asked, or stays silent
-		late  bool                    // the judged server's connections come up late
-		stale bool                    // the judged server has ended the connection that the attempt would use
+		first func(s *stubServer) string // the first server's response after the elapsed time; nil: it gets no attempt or does not respond
+		late  bool                       // the judged server's connections are established late
+		stale bool                       // the judged server has closed the connection that the attempt would use
 	}
 	direct := func(to uint32) []step { return []step{{to: to}} }
 	second := func(to uint32) []step { return []step{{to: firstCache}, {to: to}} }
-	crossings := map[string]crossing{
-		"first attempt":              {steps: direct},
-		"first attempt, held back":   {steps: func(to uint32) []step { return []step{{to: to, delay: held}} }},
-		"retry after a time-out":     {steps: func(to uint32) []step { return []step{{to: firstCache, wait: held}, {to: to}} }},
-		"retry after an error":       {steps: second, first: func(s *standIn) string { return s.error }},
-		"retry after a miss":         {steps: second, first: func(s *standIn) string { return s.missed }},
-		"retry after a lost one":     {steps: second, first: func(s *standIn) string { return "" }},
-		"hedge":                      {steps: func(to uint32) []step { return []step{{to: firstCache, hedge: held}, {to: to}} }},
-		"stale connection replaced":  {steps: second, first: func(s *standIn) string { return s.error }, stale: true},
-		"connection comes up late":   {steps: direct, late: true},
-		"retry, and a shorter wait":  {steps: func(to uint32) []step { return []step{{to: firstCache, wait: held}, {to: to, wait: clientWait / 2}} }},
+	cases := map[string]testCase{
+		"first attempt":                 {steps: direct},
+		"delayed first attempt":         {steps: func(to uint32) []step { return []step{{to: to, delay: elapsedBefore}} }},
+		"retry after a time-out":        {steps: func(to uint32) []step { return []step{{to: firstCache, wait: elapsedBefore}, {to: to}} }},
+		"retry after an error":          {steps: second, first: func(s *stubServer) string { return s.error }},
+		"retry after a miss":            {steps: second, first: func(s *stubServer) string { return s.missed }},
+		"retry after a lost connection": {steps: second, first: func(s *stubServer) string { return "" }},
+		"hedge":                         {steps: func(to uint32) []step { return []step{{to: firstCache, hedge: elapsedBefore}, {to: to}} }},
+		"stale connection replaced":     {steps: second, first: func(s *stubServer) string { return s.error }, stale: true},
+		"connection established late":   {steps: direct, late: true},
+		"retry, and a shorter wait": {steps: func(to uint32) []step {
+			return []step{{to: firstCache, wait: elapsedBefore}, {to: to, wait: clientWait / 2}}
+		}},
 		"first attempt, short waits": {steps: func(to uint32) []step { return []step{{to: to, wait: clientWait / 4}} }},
 	}
-	const rounding = 50 * time.Millisecond // and what the machine takes between the clock and the server
+	const rounding = 50 * time.Millisecond // includes the time between reading the clock and the arrival at the server
 	values := map[string]struct {
 		value  string
 		write  bool
-		margin time.Duration // what is left may be told less by so much
+		margin time.Duration // the passed deadline may be shorter than the remaining time by this much
 	}{
 		"GET":          {"", false, clientWait/16 + rounding},
 		"PUT":          {"a value", true, clientWait/16 + rounding},
@@ -315,21 +318,21 @@
 	}
 	for server, judged := range map[string]struct {
 		id uint32
-		wire
-	}{"cache": {judgedCache, cacheWire}, "origin": {originID, originWire}} {
+		serverProtocol
+	}{"cache": {judgedCache, cacheProtocol}, "origin": {originID, originProtocol}} {
 		for verb, v := range values {
-			for name, c := range crossings {
+			for name, c := range cases {
 				t.Run(fmt.Sprintf("%s, %s, %s", server, verb, name), func(t *testing.T) {
 					t.Parallel()
-					first, last := newStandIn(cacheWire), newStandIn(judged.wire)
-					servers := map[uint32]string{firstCache: passAll(t, first.serve)}
-					var shut *shut
+					first, last := newStubServer(cacheProtocol), newStubServer(judged.serverProtocol)
+					servers := map[uint32]string{firstCache: listenAll(t, first.serve)}
+					var backlogged *backloggedServer
 					if c.late {
-						shut = shutServer(t)
-						shut.serve = last.serve
-						servers[judged.id] = shut.addr
+						backlogged = newBackloggedServer(t)
+						backlogged.serve = last.serve
+						servers[judged.id] = backlogged.addr
 					} else {
-						servers[judged.id] = passAll(t, last.serve)
+						servers[judged.id] = listenAll(t, last.serve)
 					}
 					steps := c.steps(judged.id)
 					s := &script{steps: [][]step{steps}}
@@ -346,48 +349,48 @@
 						wait(t, last.seen)
 						last.answers <- last.served
 						bufio.NewReader(client).ReadString('v')
-						last.answers <- "" // the next read on that connection is answered by its end
+						last.answers <- "" // the server closes the connection on the next read
 					}
 					worst := lateness()
 					sent := send(t, client, "judged", v.value, v.write)
-					used := time.Duration(0) // before the judged attempt can begin
+					used := time.Duration(0) // elapsed before the judged attempt can start
 					switch {
 					case c.late:
-						until(t, "under way", func() bool { return shut.knocking(t) > 0 })
+						until(t, "connection dialing", func() bool { return backlogged.dialing(t) > 0 })
 						fallthrough
 					case c.first != nil:
 						if !c.late {
 							wait(t, first.seen)
 						}
-						time.Sleep(held - time.Since(sent))
+						time.Sleep(elapsedBefore - time.Since(sent))
 						used = time.Since(sent)
 						if c.late {
-							shut.open()
+							backlogged.open()
 						} else {
 							first.answers <- c.first(first)
 						}
 					case len(steps) > 1 || steps[0].delay > 0:
-						used = held
+						used = elapsedBefore
 					}
 					a := wait(t, last.seen)
 					late := worst()
-					told, left := a.told(t), clientWait-a.whole.Sub(sent)
-					if told > clientWait-used {
-						t.Errorf("told %v, at most %v were left as the attempt began", told, clientWait-used)
+					passed, remaining := a.passedDeadline(t), clientWait-a.arrivedAt.Sub(sent)
+					if passed > clientWait-used {
+						t.Errorf("passed on %v, at most %v remained when the attempt started", passed, clientWait-used)
 					}
-					if told > left+tolerance+late {
-						t.Errorf("told %v, %v were left", told, left)
+					if passed > remaining+tolerance+late {
+						t.Errorf("passed on %v, %v remained on arrival", passed, remaining)
 					}
-					least := left
+					minimum := remaining
 					if w := steps[len(steps)-1].wait; w > 0 {
-						least = min(left, w-late)
+						minimum = min(remaining, w-late)
 					}
-					if told <= 0 || told < least-v.margin-late {
-						t.Errorf("told %v, %v were left: over %v less", told, least, v.margin)
+					if passed <= 0 || passed < minimum-v.margin-late {
+						t.Errorf("passed on %v, at least %v less %v expected", passed, minimum, v.margin)
 					}
 					parts := strings.Split(properties("*"), "*")
-					if !strings.HasPrefix(a.list, parts[0]) || !strings.HasSuffix(a.list, parts[1]) || strings.Count(a.list, ",") != 4 {
-						t.Errorf("all but the deadline is to be as it came: %q", a.list)
+					if !strings.HasPrefix(a.properties, parts[0]) || !strings.HasSuffix(a.properties, parts[1]) || strings.Count(a.properties, ",") != 4 {
+						t.Errorf("properties other than the deadline were changed: %q", a.properties)
 					}
 					last.answers <- last.served
 				})
@@ -396,22 +399,22 @@
 	}
 }
 
-// Danger: a server reads nothing for a while. A value in parts that it takes up again is whole there with the deadline of before, which is longer
-// than what is left by then. It is broken off as that begins, while the client still waits: nothing else ends the attempt here.
+// Guards against a value in parts whose last byte reaches a server that has not read for a while: the passed deadline would exceed the
+// client's remaining time. The attempt must be aborted at that point, although the client still waits and nothing else ends it.
 func TestAValueIsNotWholeWithADeadlineThatHasBecomeTooLong(t *testing.T) {
 	const clientWait = 2 * time.Second
 	for name, c := range map[string]struct {
 		size    int
 		outcome policy.Outcome
 	}{
-		"our system has all of it":  {512 << 10, policy.ConnectionLost}, // it may have run, for all that is known
-		"our system has part of it": {32 << 20, policy.NotSent},
+		"all of it in the send buffer":  {512 << 10, policy.ConnectionLost}, // may have been executed
+		"part of it in the send buffer": {32 << 20, policy.NotSent},
 	} {
 		for server, protocol := range map[string]pool.Protocol{"cache": caches.Protocol{}, "origin": origin.Protocol{Host: "origin"}} {
 			t.Run(server+", "+name, func(t *testing.T) {
 				t.Parallel()
 				read, got := make(chan bool), make(chan int64)
-				addr := deaf(t, func(c net.Conn) {
+				addr := listenWithSmallBuffer(t, func(c net.Conn) {
 					<-read
 					n, _ := io.Copy(io.Discard, c)
 					got <- n
@@ -425,28 +428,28 @@
 					t.Errorf("%+v", res)
 				}
 				if took := time.Since(begun); took < clientWait/8 {
-					t.Errorf("broken off after %v", took)
+					t.Errorf("aborted after %v", took)
 				}
 				close(read)
 				if n := wait(t, got); n >= int64(c.size) {
-					t.Errorf("%d bytes came all the same", n)
+					t.Errorf("%d bytes were delivered", n)
 				}
 			})
 		}
 	}
 }
 
-// A server that is slow to read, but in time, gets its value; so does one that is slow to answer.
+// A server that reads slowly but in time receives the whole value, and one that responds slowly is waited for.
 func TestAValueThatIsWholeInTimeIsNotBrokenOff(t *testing.T) {
 	const clientWait = 4 * time.Second
 	read, answer := make(chan bool), make(chan bool)
-	addr := deaf(t, func(c net.Conn) {
+	addr := listenWithSmallBuffer(t, func(c net.Conn) {
 		<-read
-		if _, err := cacheWire.read(bufio.NewReader(c)); err != nil {
+		if _, err := cacheProtocol.read(bufio.NewReader(c)); err != nil {
 			return
 		}
 		<-answer
-		io.WriteString(c, cacheWire.served)
+		io.WriteString(c, cacheProtocol.served)
 	})
 	r := request("a")
 	r.Write, r.Parts = true, [][]byte{make([]byte, 512<<10)}
@@ -455,14 +458,14 @@
 	results, _ := push(pool.New(shared(), addr, caches.Protocol{}), r)
 	time.Sleep(clientWait / 16)
 	close(read)
-	time.Sleep(clientWait/2 - time.Since(begun)) // past the end of the margin
+	time.Sleep(clientWait/2 - time.Since(begun)) // after WriteBy has passed
 	close(answer)
 	if res := wait(t, results); res.Outcome != policy.Acked {
 		t.Errorf("%+v", res)
 	}
 }
 
-// An attempt with under a millisecond left is none: nothing is written for it, and its connection serves the next.
+// An attempt with less than a millisecond remaining is not written, and its connection serves the next attempt.
 func TestNoTimeLeftIsNoAttempt(t *testing.T) {
 	seen := make(chan string, 9)
 	addr := listen(t, func(n int, c net.Conn) {
@@ -472,7 +475,7 @@
 				return
 			}
 			seen <- words[2]
-			io.WriteString(c, cacheWire.served)
+			io.WriteString(c, cacheProtocol.served)
 		}
 	})
 	s := shared()
@@ -484,7 +487,7 @@
 		if res := wait(t, results); res.Outcome != policy.NotSent || !errors.Is(res.Err, deadline.ErrNoTime) {
 			t.Errorf("%s: %+v", name, res)
 		}
-		settled()
+		waitUntilReusable()
 	}
 	results, _ := push(p, request("enough"))
 	if res := wait(t, results); res.Outcome != policy.Acked || wait(t, seen) != "enough" || s.Opened.Load() != 1 {
--- a/internal/pool/idle.go
+++ b/internal/pool/idle.go
@@ -5,56 +5,57 @@
 	"sync"
 )
 
-// idleConns are the idle connections of all pools, the one that has been idle for longest first. A pool's mutex comes ahead of this one's.
-type idleConns struct {
-	mu  sync.Mutex
-	all list.List
+// idleList holds the idle connections of all pools, the one that has been idle longest first. Lock order: a pool's mutex before
+// this one.
+type idleList struct {
+	mu    sync.Mutex
+	order list.List // of *conn
 }
 
-// add adds a connection that has just become idle; its pool's mutex is held.
-func (i *idleConns) add(c *conn) {
-	i.mu.Lock()
-	defer i.mu.Unlock()
-	c.place = i.all.PushBack(c)
+// add appends a connection that has just become idle. The caller holds its pool's mutex.
+func (l *idleList) add(c *conn) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	c.idleElement = l.order.PushBack(c)
 }
 
-// remove takes off one that is used again, or closed; its pool's mutex is held.
-func (i *idleConns) remove(c *conn) {
-	if c.place == nil {
+// remove removes a connection that is used again or closed. The caller holds its pool's mutex.
+func (l *idleList) remove(c *conn) {
+	if c.idleElement == nil {
 		return
 	}
-	i.mu.Lock()
-	defer i.mu.Unlock()
-	i.all.Remove(c.place)
-	c.place = nil
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.order.Remove(c.idleElement)
+	c.idleElement = nil
 }
 
-func (i *idleConns) oldest() *conn {
-	i.mu.Lock()
-	defer i.mu.Unlock()
-	if first := i.all.Front(); first != nil {
-		return first.Value.(*conn)
+func (l *idleList) oldest() *conn {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if front := l.order.Front(); front != nil {
+		return front.Value.(*conn)
 	}
 	return nil
 }
 
-// closeOldest closes the connection that has been idle for longest, at whichever server: else the idle connections to some would keep pushes
-// from others. It returns false if there is none. Danger: with a walk over all pools, each attempt that needs a descriptor would hold the mutex that
-// the engine's goroutine needs for every other.
-func (i *idleConns) closeOldest() bool {
-	for c := i.oldest(); c != nil; c = i.oldest() {
-		if c.closeIdle() {
+// closeOldest closes the connection that has been idle longest, whichever server it leads to, so that idle connections to some servers
+// don't block attempts at others. It returns false if no connection is idle. It doesn't walk all pools: the engine's goroutine needs
+// their mutexes for every attempt.
+func (l *idleList) closeOldest() bool {
+	for c := l.oldest(); c != nil; c = l.oldest() {
+		if c.closeIfIdle() {
 			return true
 		}
 	}
 	return false
 }
 
-// closeIdle closes a connection if it is still idle.
-func (c *conn) closeIdle() bool {
+// closeIfIdle closes a connection if it is still idle, and reports whether it was.
+func (c *conn) closeIfIdle() bool {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
-	if c.place == nil {
+	if c.idleElement == nil {
 		return false
 	}
 	c.close()
--- a/internal/pool/idle_test.go
+++ b/internal/pool/idle_test.go
@@ -11,35 +11,37 @@
 	"minttray/internal/engine"
 )
 
-// noProtocol is for connections on which nothing is sent.
+// noProtocol is a Protocol for connections that carry no requests.
 type noProtocol struct{}
 
-func (noProtocol) Append(b []byte, _ *engine.Request, _ deadline.AttemptDeadline) ([]byte, int) { return b, 0 }
-func (noProtocol) Answers(io.Reader) Answers                                           { return noAnswers{} }
+func (noProtocol) AppendRequest(b []byte, _ *engine.Request, _ deadline.AttemptDeadline) ([]byte, int) {
+	return b, 0
+}
+func (noProtocol) NewResponseReader(io.Reader) ResponseReader { return noResponses{} }
 
-type noAnswers struct{}
+type noResponses struct{}
 
-func (noAnswers) Wait() error { return io.EOF }
-func (noAnswers) Read(*engine.Request) (engine.Result, bool, error) {
+func (noResponses) Wait() error { return io.EOF }
+func (noResponses) ReadResponse(*engine.Request) (engine.Result, bool, error) {
 	return engine.Result{}, false, io.EOF
 }
-func (noAnswers) Pass(*io.PipeWriter) (bool, error) { return false, io.EOF }
-func (noAnswers) Rest() int                         { return 0 }
+func (noResponses) StreamValue(*io.PipeWriter) (bool, error) { return false, io.EOF }
+func (noResponses) Buffered() int                            { return 0 }
 
-// idle makes an idle connection of a pool.
-func idle(p *Pool) *conn {
-	ours, theirs := net.Pipe()
-	go io.Copy(io.Discard, theirs)
-	c := &conn{pool: p, nc: ours, answers: noAnswers{}, work: make(chan *attempt, 1)}
-	p.shared.open.Add(1)
+// newIdleConn adds an idle connection to a pool.
+func newIdleConn(p *Pool) *conn {
+	clientEnd, serverEnd := net.Pipe()
+	go io.Copy(io.Discard, serverEnd)
+	c := &conn{pool: p, netConn: clientEnd, responses: noResponses{}, attempts: make(chan *attempt, 1)}
+	p.shared.openConns.Add(1)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	c.rest()
+	c.makeIdle()
 	return c
 }
 
-// Danger: to make room for one connection, all pools are walked under a mutex that the engine's goroutine needs: with thousands of servers each
-// attempt pays for all of them. Here the mutexes of all pools but two are held, so that whoever looks at one more waits for ever.
+// Guards against a walk over all pools when a connection must be closed to make room: with thousands of servers, each attempt would take
+// every pool's mutex, which the engine's goroutine needs. The test holds the mutexes of all pools but two, so that such a walk blocks.
 func TestRoomIsMadeWithoutALookAtOtherPools(t *testing.T) {
 	const servers = 3200
 	shared := &Shared{DialTimeout: time.Second}
@@ -48,43 +50,43 @@
 	for n := range servers {
 		pools = append(pools, New(shared, fmt.Sprint("server-", n), noProtocol{}))
 	}
-	oldest, newest := idle(pools[7]), idle(pools[servers-1])
+	oldest, newest := newIdleConn(pools[7]), newIdleConn(pools[servers-1])
 	for n, p := range pools {
 		if n != 7 && n != servers-1 {
 			p.mu.Lock()
 		}
 	}
-	taken := make(chan bool, 1)
-	go func() { taken <- shared.take() }()
+	reserved := make(chan bool, 1)
+	go func() { reserved <- shared.reserveConn() }()
 	select {
-	case ok := <-taken:
+	case ok := <-reserved:
 		if !ok {
-			t.Error("no room was made")
+			t.Error("no idle connection was closed to make room")
 		}
 	case <-time.After(5 * time.Second):
-		t.Fatal("it waits for other pools")
+		t.Fatal("reserveConn blocks on the mutex of another pool")
 	}
-	if !oldest.gone || newest.gone {
-		t.Errorf("closed: oldest %v, newest %v", oldest.gone, newest.gone)
+	if !oldest.closed || newest.closed {
+		t.Errorf("closed: oldest %v, newest %v", oldest.closed, newest.closed)
 	}
 }
 
-// One that is used again, or closed, is not in the order any more; with none there is no room.
+// A closed connection leaves the list, and closeOldest reports false when no connection is idle.
 func TestTheOrderOfIdleConnections(t *testing.T) {
 	shared := &Shared{DialTimeout: time.Second}
 	p := New(shared, "server", noProtocol{})
-	a, b, c := idle(p), idle(p), idle(p)
+	a, b, c := newIdleConn(p), newIdleConn(p), newIdleConn(p)
 	p.mu.Lock()
 	a.close()
 	p.mu.Unlock()
-	if first := shared.idle.oldest(); first != b {
-		t.Errorf("%p, want %p", first, b)
+	if oldest := shared.idleConns.oldest(); oldest != b {
+		t.Errorf("oldest connection %p, want %p", oldest, b)
 	}
-	if !shared.idle.closeOldest() || !b.gone || c.gone {
-		t.Error("the oldest one was to be closed")
+	if !shared.idleConns.closeOldest() || !b.closed || c.closed {
+		t.Error("the oldest connection was not closed, or another one was")
 	}
 	p.Release()
-	if shared.idle.closeOldest() || shared.idle.all.Len() != 0 || !c.gone {
-		t.Errorf("%d left", shared.idle.all.Len())
+	if shared.idleConns.closeOldest() || shared.idleConns.order.Len() != 0 || !c.closed {
+		t.Errorf("%d connections left in the list", shared.idleConns.order.Len())
 	}
 }
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -1,5 +1,5 @@
-// Package pool holds the connections to one server, a cache or the origin, one attempt at a time on each:
-// cancelling an attempt means closing its connection, and that must not break others.
+// Package pool manages the connections to one server, a cache or the origin. Each connection carries one attempt at a time:
+// cancelling an attempt closes its connection, which must not affect other attempts.
 package pool
 
 import (
@@ -14,36 +14,39 @@
 	"minttray/internal/engine"
 )
 
-// settle is how long a connection rests before it is used again: a second copy of an answer, or the server's end of
-// the connection, comes up to some milliseconds behind the answer, and is then seen before anything is written. Danger: with
-// less, the next request on it is given another's value.
-const settle = 10 * time.Millisecond
+// reuseDelay is how long a connection stays unused after a response. A duplicate response, or the server's close of the connection,
+// arrives up to some milliseconds after the response and is then detected before the next request is written. With a shorter
+// delay, the next request on the connection could receive another request's value.
+const reuseDelay = 10 * time.Millisecond
 
-// Protocol is what requests and answers look like.
+// Protocol encodes requests and decodes responses.
 type Protocol interface {
-	// Append adds a request as it goes out, with the deadline that this attempt passes on. A value in parts is left out:
-	// it belongs at a place that gap gives, 0 where there is none.
-	Append(b []byte, r *engine.Request, passed deadline.AttemptDeadline) (out []byte, gap int)
-	// Answers reads what comes over one connection.
-	Answers(r io.Reader) Answers
+	// AppendRequest appends an encoded request to b, with the deadline that this attempt passes on. It omits a value in parts:
+	// the value belongs at valueOffset, which is 0 if there is none.
+	AppendRequest(b []byte, r *engine.Request, passed deadline.AttemptDeadline) (encoded []byte, valueOffset int)
+	// NewResponseReader returns a reader for the responses of one connection.
+	NewResponseReader(r io.Reader) ResponseReader
 }
 
-// ErrSpoilt is an answer that is none. The request has run, or may have; the connection is of no further use.
-var ErrSpoilt = errors.New("not an answer")
-
-// Answers reads the answers of one connection.
-type Answers interface {
-	Wait() error // until at least a byte is there
-	// Read takes one whole answer off. It is only called once a byte of it is there. keep: the connection can
-	// serve another attempt.
-	Read(r *engine.Request) (res engine.Result, keep bool, err error)
-	// Pass writes the value that the last result announced by its body's size, and reads the answer to its end. An error
-	// comes before the value's end is said to w.
-	Pass(w *io.PipeWriter) (keep bool, err error)
-	Rest() int // bytes that have come and not been taken
+// ErrInvalidResponse means that a response violates the protocol. The request may have been executed, and the connection can't be
+// reused.
+var ErrInvalidResponse = errors.New("invalid response")
+
+// ResponseReader reads the responses of one connection.
+type ResponseReader interface {
+	// Wait blocks until at least one byte has arrived.
+	Wait() error
+	// ReadResponse reads one complete response. It must only be called after Wait has succeeded. keep reports whether the connection can
+	// carry another attempt.
+	ReadResponse(r *engine.Request) (res engine.Result, keep bool, err error)
+	// StreamValue writes the value that the last result announced by its body's size to w, and reads the response to its end. It
+	// returns an error before it closes w if the value is incomplete.
+	StreamValue(w *io.PipeWriter) (keep bool, err error)
+	// Buffered returns the number of bytes that have been received and not consumed.
+	Buffered() int
 }
 
-// Pool is a Server.
+// Pool holds the connections to one server. It implements engine.Server.
 type Pool struct {
 	shared   *Shared
 	addr     string
@@ -54,109 +57,109 @@
 	retired bool
 }
 
-// New makes a pool; nothing is opened before the first attempt.
+// New returns a pool for the server at addr. It opens no connection before the first attempt.
 func New(shared *Shared, addr string, protocol Protocol) *Pool {
 	p := &Pool{shared: shared, addr: addr, protocol: protocol}
-	shared.list(p, true)
+	shared.setRegistered(p, true)
 	return p
 }
 
-// Push makes an attempt on the most recently used idle connection that has settled, or on a new one.
+// Push makes an attempt on the most recently used idle connection whose reuse delay is over, or on a new connection.
 func (p *Pool) Push(r *engine.Request, until time.Time, done func(engine.Result)) func(engine.AbortCondition) bool {
-	a := &attempt{request: r, until: until, done: done}
-	p.start(a)
-	return func(when engine.AbortCondition) bool { return p.cancel(a, when) }
+	a := &attempt{request: r, responseDeadline: until, complete: done}
+	p.dispatch(a)
+	return func(condition engine.AbortCondition) bool { return p.cancel(a, condition) }
 }
 
-// start hands an attempt to a connection, or has one made for it.
-func (p *Pool) start(a *attempt) {
-	fresh := p.shared.fresh(time.Now()) // its mutex comes ahead of the pool's
+// dispatch assigns an attempt to an idle connection, or starts to dial a new one.
+func (p *Pool) dispatch(a *attempt) {
+	cutoff := p.shared.idleCutoff(time.Now()) // lock order: the shared mutex before the pool's
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if a.cancelled {
 		return
 	}
-	settled := time.Now().Add(-settle)
+	reusableBefore := time.Now().Add(-reuseDelay)
 	for i := len(p.idle) - 1; i >= 0; i-- {
-		if c := p.idle[i]; c.since.Before(settled) && c.since.After(fresh) {
+		if c := p.idle[i]; c.idleSince.Before(reusableBefore) && c.idleSince.After(cutoff) {
 			p.idle = append(p.idle[:i], p.idle[i+1:]...)
-			p.shared.idle.remove(c)
-			c.take(a)
+			p.shared.idleConns.remove(c)
+			c.assign(a)
 			p.shared.Reused.Add(1)
 			return
 		}
 	}
-	go p.dial(a)
+	go p.dialAndServe(a)
 }
 
-// cancel cancels an attempt that has come no further than when says, and tells whether it is cancelled.
-func (p *Pool) cancel(a *attempt, when engine.AbortCondition) bool {
+// cancel cancels an attempt if it meets the condition, and reports whether it is cancelled.
+func (p *Pool) cancel(a *attempt, condition engine.AbortCondition) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if a.cancelled {
 		return true
 	}
-	switch when {
+	switch condition {
 	case engine.IfUnwritten:
-		if a.stage >= writing {
+		if a.stage >= stageWriting {
 			return false
 		}
 	case engine.IfUnsent:
-		over := a.on != nil && a.on.attempt != a // its result is under way
-		if over || a.stage == written && !a.on.holds() {
+		ended := a.conn != nil && a.conn.attempt != a // its result is about to be reported
+		if ended || a.stage == stageWritten && !a.conn.hasUnackedData() {
 			return false
 		}
 	}
 	a.cancelled = true
-	if c := a.on; c != nil && c.attempt == a {
-		// Before anything else is written for this request: the server would take a second copy while this one is
-		// still out on an open connection.
+	if c := a.conn; c != nil && c.attempt == a {
+		// Closed before the next attempt of this request is written: the server counts a second copy while the first is still
+		// pending on an open connection.
 		c.abort()
 	}
 	return true
 }
 
-// fail tells how far an attempt had come as it failed.
-func (p *Pool) fail(a *attempt, how Progress, err error) {
-	f := &Fault{how, p.addr, err}
-	a.done(engine.Result{Outcome: f.Outcome(), Err: f})
+// fail reports the failure of an attempt.
+func (p *Pool) fail(a *attempt, progress Progress, err error) {
+	attemptErr := &AttemptError{progress, p.addr, err}
+	a.complete(engine.Result{Outcome: attemptErr.Outcome(), Err: attemptErr})
 }
 
-// dial makes a connection for an attempt, and serves on it until it is closed.
-func (p *Pool) dial(a *attempt) {
-	if !p.shared.take() {
+// dialAndServe opens a connection for an attempt, and serves attempts on it until it is closed.
+func (p *Pool) dialAndServe(a *attempt) {
+	if !p.shared.reserveConn() {
 		p.fail(a, NeverConnected, errNoDescriptor)
 		return
 	}
-	nc, err := net.DialTimeout("tcp", p.addr, p.shared.dial())
+	netConn, err := net.DialTimeout("tcp", p.addr, p.shared.dialTimeout())
 	if err != nil {
-		p.shared.open.Add(-1)
-		p.shared.Failed.Add(1)
+		p.shared.openConns.Add(-1)
+		p.shared.DialFailures.Add(1)
 		p.fail(a, NeverConnected, err)
 		return
 	}
 	p.shared.Opened.Add(1)
-	c := &conn{pool: p, nc: nc, answers: p.protocol.Answers(nc), work: make(chan *attempt, 1)}
+	c := &conn{pool: p, netConn: netConn, responses: p.protocol.NewResponseReader(netConn), attempts: make(chan *attempt, 1)}
 	p.mu.Lock()
 	if a.cancelled {
-		c.rest() // made for nothing, so kept for the next
+		c.makeIdle() // kept for the next attempt
 	} else {
-		c.take(a)
+		c.assign(a)
 	}
 	p.mu.Unlock()
-	for a := range c.work {
+	for a := range c.attempts {
 		c.serve(a)
 	}
 }
 
-// panicked logs and counts a panic, which ends no more than the connection that it happened on.
-func (p *Pool) panicked(fault any) {
+// recordPanic logs and counts a recovered panic. Only the connection on which it occurred is closed.
+func (p *Pool) recordPanic(recovered any) {
 	p.shared.Panics.Add(1)
-	p.shared.Log.Error().Interface("panic", fault).Str("server", p.addr).Bytes("stack", debug.Stack()).
+	p.shared.Log.Error().Interface("panic", recovered).Str("server", p.addr).Bytes("stack", debug.Stack()).
 		Msg("panic on a connection to a server")
 }
 
-// Release closes idle connections.
+// Release closes the idle connections.
 func (p *Pool) Release() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -165,11 +168,11 @@
 	}
 }
 
-// Retire closes idle connections now and the others once their attempt has ended.
+// Retire closes the idle connections immediately and each other connection when its attempt has ended.
 func (p *Pool) Retire() {
 	p.mu.Lock()
 	p.retired = true
 	p.mu.Unlock()
 	p.Release()
-	p.shared.list(p, false)
+	p.shared.setRegistered(p, false)
 }
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -19,9 +19,10 @@
 	"minttray/policy"
 )
 
-const patience = 10 * time.Second // bound of waits that end by an event; no verdict hangs on it
+// eventTimeout limits waits for an event; no assertion depends on its length.
+const eventTimeout = 10 * time.Second
 
-// listen runs serve for each connection and counts them.
+// listen starts a server that calls serve for each connection, with the number of connections before it.
 func listen(t *testing.T, serve func(n int, c net.Conn)) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -41,7 +42,7 @@
 	return l.Addr().String()
 }
 
-// command reads one command and gives its words.
+// command reads one command and returns its words.
 func command(r *bufio.Reader) ([]string, error) {
 	var n int
 	if _, err := fmt.Fscanf(r, "*%d\r\n", &n); err != nil {
@@ -62,10 +63,6 @@
 	return words, nil
 }
 
-func shared() *pool.Shared {
-	return pooled()
-}
-
 func request(id string) *engine.Request {
 	props := "c=read,d=480,size=3"
 	return &engine.Request{Key: "k", ID: id, Deadline: deadline.After(time.Now(), time.Hour), Properties: deadline.RemoveDeadline(props, 9, 12)}
@@ -76,15 +73,15 @@
 	return results, p.Push(r, time.Now().Add(time.Hour), func(res engine.Result) { results <- res })
 }
 
-// settled is past the moment for which a connection that has just answered is left alone.
-func settled() { time.Sleep(20 * time.Millisecond) }
+// waitUntilReusable waits until a connection that has just responded can be reused: longer than the reuse delay of 10 ms.
+func waitUntilReusable() { time.Sleep(20 * time.Millisecond) }
 
 func wait[T any](t *testing.T, c <-chan T) (v T) {
 	t.Helper()
 	select {
 	case v = <-c:
-	case <-time.After(patience):
-		t.Fatal("nothing came")
+	case <-time.After(eventTimeout):
+		t.Fatalf("no event within %v", eventTimeout)
 	}
 	return v
 }
@@ -112,7 +109,7 @@
 		if !strings.HasPrefix(words, "0 [CACHE.GET k "+id+" c=read,d=33") || !strings.HasSuffix(words, ",size=3]") {
 			t.Errorf("the cache saw %s", words)
 		}
-		settled()
+		waitUntilReusable()
 	}
 	if s.Opened.Load() != 1 || s.Reused.Load() != 1 {
 		t.Errorf("%d connections opened, %d used again", s.Opened.Load(), s.Reused.Load())
@@ -123,7 +120,8 @@
 	}
 }
 
-// Danger: a push given up but still out on an open connection counts as a second copy beside the next.
+// Guards against an abandoned push that is still pending on an open connection: the server counts the next push as a second copy beside
+// it.
 func TestGivenUpPushIsOffItsConnectionBeforeTheNext(t *testing.T) {
 	taken, closed := make(chan int, 2), make(chan int, 2)
 	addr := listen(t, func(n int, c net.Conn) {
@@ -142,14 +140,14 @@
 	})
 	s := shared()
 	p := pool.New(s, addr, caches.Protocol{})
-	_, giveUp := push(p, request("a"))
+	_, abort := push(p, request("a"))
 	wait(t, taken)
-	giveUp(engine.Always)
+	abort(engine.Always)
 	if s.Open() != 0 {
 		t.Error("the connection is still open")
 	}
 	wait(t, closed)
-	giveUp(engine.Always)
+	abort(engine.Always)
 	results, _ := push(p, request("a"))
 	if res := wait(t, results); res.Outcome != policy.Acked {
 		t.Errorf("%+v", res)
@@ -174,18 +172,18 @@
 		"before its last byte": {listen(t, func(_ int, c net.Conn) {
 			io.ReadFull(c, make([]byte, 1000))
 			c.(*net.TCPConn).SetLinger(0)
-		}), big, pool.PartWritten, policy.NotSent},
+		}), big, pool.PartlyWritten, policy.NotSent},
 		"after its last byte": {listen(t, func(_ int, c net.Conn) { command(bufio.NewReader(c)) }), request("a"),
-			pool.WholeWritten, policy.ConnectionLost},
-		"in mid-answer": {listen(t, func(_ int, c net.Conn) {
+			pool.FullyWritten, policy.ConnectionLost},
+		"during the response": {listen(t, func(_ int, c net.Conn) {
 			command(bufio.NewReader(c))
 			io.WriteString(c, "*3\r\n$100\r\nhalf a val")
-		}), request("a"), pool.AnswerBegun, policy.ConnectionLost},
+		}), request("a"), pool.ResponseStarted, policy.ConnectionLost},
 	} {
 		s := shared()
 		results, _ := push(pool.New(s, c.addr, caches.Protocol{}), c.request)
 		res := wait(t, results)
-		var f *pool.Fault
+		var f *pool.AttemptError
 		if !errors.As(res.Err, &f) || f.Progress != c.progress || res.Outcome != c.outcome {
 			t.Errorf("%s: outcome %d, %v", name, res.Outcome, res.Err)
 		}
@@ -198,13 +196,13 @@
 func TestWhatCachesAnswer(t *testing.T) {
 	for answer, want := range map[string]policy.Outcome{
 		"*3\r\n$0\r\n\r\n$-1\r\n$-1\r\n":                 policy.Acked,
-		"*3\r\n$1\r\nv\r\n$3\r\nhit\r\n$2\r\n\xff\r\r\n": policy.Acked, // nothing hangs on the report
+		"*3\r\n$1\r\nv\r\n$3\r\nhit\r\n$2\r\n\xff\r\r\n": policy.Acked, // the report does not affect the outcome
 		"*3\r\n$-1\r\n$-1\r\n$-1\r\n":                    policy.Miss,
 		"-BUSY\r\n":                                      policy.Rejected,
 		"-BUSY inflight=7\r\n":                           policy.Rejected,
 		"-ERR failed inflight=7\r\n":                     policy.Errored,
 		"-ERR failed \xff\xfe\r\n":                       policy.Errored,
-		// None of these goes on, and the connection stays open: what can't become whole is not waited for.
+		// The server sends nothing more and keeps the connection open: a response that can't become valid must not be waited for.
 		"-BUSYBODY\r\n":                    policy.ConnectionLost,
 		"-BUSY\n":                          policy.ConnectionLost,
 		"-BUSY\rx":                         policy.ConnectionLost,
@@ -237,7 +235,7 @@
 	}
 }
 
-// An answer with something left over, or to nothing, must not become the answer of the next push.
+// A response with surplus data, or one that nothing was sent for, must not become the response to the next push.
 func TestUnaskedAnswerEndsTheConnection(t *testing.T) {
 	addr := listen(t, func(n int, c net.Conn) {
 		r := bufio.NewReader(c)
@@ -254,13 +252,13 @@
 	for _, id := range []string{"a", "b", "c"} {
 		results, _ := push(p, request(id))
 		if res := wait(t, results); string(res.Value) == "wrong" {
-			t.Fatalf("push %s got another's answer", id)
+			t.Fatalf("push %s received the response to another push", id)
 		}
-		for late := time.Now().Add(patience); s.Open() > 0 && time.Now().Before(late); {
+		for late := time.Now().Add(eventTimeout); s.Open() > 0 && time.Now().Before(late); {
 			time.Sleep(time.Millisecond)
 		}
 		if s.Open() != 0 {
-			t.Fatal("the connection was kept")
+			t.Fatal("the connection stayed open")
 		}
 	}
 }
@@ -272,18 +270,18 @@
 	s := shared()
 	s.MaxConnections.Store(1)
 	p := pool.New(s, addr, caches.Protocol{})
-	first, giveUp := push(p, request("a"))
+	first, abort := push(p, request("a"))
 	for s.Open() == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	second, _ := push(p, request("b"))
-	if res := wait(t, second); res.Outcome != policy.NotSent || s.Shortages.Load() != 1 {
+	if res := wait(t, second); res.Outcome != policy.NotSent || s.DescriptorShortages.Load() != 1 {
 		t.Errorf("%+v", res)
 	}
 	for s.Opened.Load() == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	giveUp(engine.Always)
+	abort(engine.Always)
 	select {
 	case res := <-first:
 		if res.Outcome == policy.Acked {
@@ -293,7 +291,7 @@
 	}
 }
 
-// Danger: connections that idle at some servers keep pushes from others.
+// Guards against idle connections to some servers that block pushes to others.
 func TestIdleConnectionIsReclaimedForAnotherServer(t *testing.T) {
 	serve := func(_ int, c net.Conn) {
 		for r := bufio.NewReader(c); ; {
@@ -311,27 +309,29 @@
 			t.Errorf("server %d: %+v", i, res)
 		}
 	}
-	if s.Open() != 2 || s.Shortages.Load() != 0 {
-		t.Errorf("%d open, %d shortages", s.Open(), s.Shortages.Load())
+	if s.Open() != 2 || s.DescriptorShortages.Load() != 0 {
+		t.Errorf("%d open, %d shortages", s.Open(), s.DescriptorShortages.Load())
 	}
 }
 
-type panicky struct {
+type panickingProtocol struct {
 	caches.Protocol
 	writing bool
 }
-type panicAnswers struct{ pool.Answers }
+type panickingReader struct{ pool.ResponseReader }
 
-func (p panicky) Answers(r io.Reader) pool.Answers { return panicAnswers{p.Protocol.Answers(r)} }
-func (panicAnswers) Read(*engine.Request) (engine.Result, bool, error) {
+func (p panickingProtocol) NewResponseReader(r io.Reader) pool.ResponseReader {
+	return panickingReader{p.Protocol.NewResponseReader(r)}
+}
+func (panickingReader) ReadResponse(*engine.Request) (engine.Result, bool, error) {
 	panic("in the parser")
 }
 
-func (p panicky) Append(b []byte, r *engine.Request, passed deadline.AttemptDeadline) ([]byte, int) {
+func (p panickingProtocol) AppendRequest(b []byte, r *engine.Request, passed deadline.AttemptDeadline) ([]byte, int) {
 	if p.writing {
 		panic("in the writer")
 	}
-	return p.Protocol.Append(b, r, passed)
+	return p.Protocol.AppendRequest(b, r, passed)
 }
 
 func TestPanicStopsAtTheConnection(t *testing.T) {
@@ -341,16 +341,16 @@
 	})
 	for writing, outcome := range map[bool]policy.Outcome{false: policy.ConnectionLost, true: policy.NotSent} {
 		s := shared()
-		results, _ := push(pool.New(s, addr, panicky{writing: writing}), request("a"))
+		results, _ := push(pool.New(s, addr, panickingProtocol{writing: writing}), request("a"))
 		if res := wait(t, results); res.Outcome != outcome || s.Panics.Load() != 1 || s.Open() != 0 {
 			t.Errorf("%+v, %d panics, %d open", res, s.Panics.Load(), s.Open())
 		}
 	}
 }
 
-// Danger: a second copy that comes a little behind the answer, on a connection used again, is another op's value; and a
-// connection that the server has ended would break the next push. Both are seen before anything is written.
-func TestWhatComesBehindAnAnswerIsNotTheNextOnes(t *testing.T) {
+// Guards against reuse of a connection on which a duplicate response or the server's close arrives shortly after the response: the next push
+// would receive another op's value, or fail. Both must be detected before anything is written.
+func TestDataAfterAResponseIsNotUsedForTheNextPush(t *testing.T) {
 	const answer = "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n"
 	for name, behind := range map[string]func(c net.Conn){
 		"a copy": func(c net.Conn) { io.WriteString(c, answer) },
@@ -361,11 +361,11 @@
 		},
 	} {
 		ready, done := make(chan bool), make(chan bool)
-		asked := make(chan string, 4)
+		received := make(chan string, 4)
 		addr := listen(t, func(n int, c net.Conn) {
 			r := bufio.NewReader(c)
 			words, _ := command(r)
-			asked <- words[2]
+			received <- words[2]
 			io.WriteString(c, answer)
 			if n == 0 {
 				<-ready
@@ -380,18 +380,18 @@
 		wait(t, first)
 		ready <- true
 		<-done
-		settled()
+		waitUntilReusable()
 		second, _ := push(p, request("b"))
 		if res := wait(t, second); res.Outcome != policy.Acked || string(res.Value) != "v" {
 			t.Errorf("%s: %+v", name, res)
 		}
-		if s.Stale.Load() != 1 || s.Opened.Load() != 2 || <-asked+<-asked != "ab" || len(asked) > 0 {
-			t.Errorf("%s: %d found stale, %d opened, %d asked more", name, s.Stale.Load(), s.Opened.Load(), len(asked))
+		if s.StaleConns.Load() != 1 || s.Opened.Load() != 2 || <-received+<-received != "ab" || len(received) > 0 {
+			t.Errorf("%s: %d found stale, %d opened, %d more requests", name, s.StaleConns.Load(), s.Opened.Load(), len(received))
 		}
 	}
 }
 
-func TestSweepClosesWhatIsOverOrOld(t *testing.T) {
+func TestCloseExpiredClosesEndedAndExpiredConnections(t *testing.T) {
 	end := make(chan bool)
 	addr := listen(t, func(n int, c net.Conn) {
 		r := bufio.NewReader(c)
@@ -410,33 +410,33 @@
 	wait(t, one)
 	wait(t, two)
 	if s.CloseExpired(time.Now()); s.Open() != 2 {
-		t.Errorf("%d open, both are well", s.Open())
+		t.Errorf("%d open, both are healthy", s.Open())
 	}
 	close(end)
-	for late := time.Now().Add(patience); s.Open() > 1 && time.Now().Before(late); s.CloseExpired(time.Now()) {
+	for late := time.Now().Add(eventTimeout); s.Open() > 1 && time.Now().Before(late); s.CloseExpired(time.Now()) {
 		time.Sleep(time.Millisecond)
 	}
-	if s.Open() != 1 || s.Expired.Load() != 1 {
+	if s.Open() != 1 || s.ExpiredConns.Load() != 1 {
 		t.Errorf("%d open after one end", s.Open())
 	}
 	if s.CloseExpired(time.Now().Add(s.IdleTimeout)); s.Open() != 0 {
-		t.Errorf("%d open past their time", s.Open())
+		t.Errorf("%d open past the idle timeout", s.Open())
 	}
 }
 
-func pooled() *pool.Shared {
-	s := &pool.Shared{DialTimeout: patience, IdleTimeout: time.Minute, Log: zerolog.Nop()}
+func shared() *pool.Shared {
+	s := &pool.Shared{DialTimeout: eventTimeout, IdleTimeout: time.Minute, Log: zerolog.Nop()}
 	s.MaxConnections.Store(10)
 	return s
 }
 
-// Danger: a value that was passed on in part is taken for whole, or its rest for the next push's answer.
+// Guards against a truncated value that is taken for complete, and against its rest being taken for the next push's response.
 func TestLongValuesPass(t *testing.T) {
 	long := strings.Repeat("0123456789", 20000)
 	for name, c := range map[string]struct {
 		answer string
-		whole  bool // the value has ended as it should
-		kept   bool // and so has the answer
+		whole  bool // the value is complete
+		kept   bool // so is the response, and the connection stays open
 	}{
 		"whole":                {long + "\r\n$-1\r\n$10\r\ninflight=7\r\n", true, true},
 		"a copy behind":        {long + "\r\n$-1\r\n$-1\r\n*3", true, false},
@@ -466,7 +466,7 @@
 		if c.whole != (err == nil) || c.whole && string(got) != long {
 			t.Errorf("%s: %d bytes, %v", name, len(got), err)
 		}
-		for late := time.Now().Add(patience); s.Open() != map[bool]int64{true: 1}[c.kept] && time.Now().Before(late); {
+		for late := time.Now().Add(eventTimeout); s.Open() != map[bool]int64{true: 1}[c.kept] && time.Now().Before(late); {
 			time.Sleep(time.Millisecond)
 		}
 		if kept := s.Open() == 1; kept != c.kept {
@@ -475,7 +475,7 @@
 	}
 }
 
-// Danger: a client that leaves holds a cache's connection for as long as the cache gives.
+// Guards against a client that disconnects during a long value and blocks the cache's connection for as long as the cache sends.
 func TestALongValueThatNobodyReadsEnds(t *testing.T) {
 	ended := make(chan error, 1)
 	addr := listen(t, func(_ int, c net.Conn) {
--- a/internal/pool/send.go
+++ b/internal/pool/send.go
@@ -9,48 +9,49 @@
 	"minttray/internal/engine"
 )
 
-// alwaysHeld is the size of a request that our system takes at once, as nothing else is on its way there: the least buffer of a socket.
-const alwaysHeld = 4 << 10
+// minSocketBuffer is the smallest send buffer of a socket in bytes. The kernel accepts a request of up to this size at once if the
+// buffer is empty.
+const minSocketBuffer = 4 << 10
 
-// keptBuffer is the largest buffer for requests that an idle connection keeps.
-const keptBuffer = 16 << 10
+// maxIdleBuffer is the largest write buffer in bytes that an idle connection retains.
+const maxIdleBuffer = 16 << 10
 
-// send writes a request. The deadline that it passes on is computed here, right ahead of the write, and nowhere else; a write
-// that does not end in the time that was left out of it is broken off.
+// send writes a request. It computes the deadline that the attempt passes on immediately before the write, and aborts a write that
+// exceeds the margin subtracted from that deadline.
 func (c *conn) send(a *attempt) (passed deadline.AttemptDeadline, err error) {
 	r := a.request
 	if !r.Probe {
-		how := deadline.SingleWrite
+		transfer := deadline.SingleWrite
 		if len(r.Parts) > 0 {
-			how = deadline.MultipleWrites
+			transfer = deadline.MultipleWrites
 		}
-		if passed, err = r.Deadline.ForAttempt(time.Now(), a.until, how); err != nil {
+		if passed, err = r.Deadline.ForAttempt(time.Now(), a.responseDeadline, transfer); err != nil {
 			return passed, err
 		}
 	}
-	var gap int
-	c.out, gap = c.pool.protocol.Append(c.out[:0], r, passed)
-	if slow := r.Size()+len(c.out) > alwaysHeld; slow && !r.Probe {
-		c.nc.SetWriteDeadline(passed.WriteBy())
-		defer c.nc.SetWriteDeadline(time.Time{})
+	var valueOffset int
+	c.writeBuffer, valueOffset = c.pool.protocol.AppendRequest(c.writeBuffer[:0], r, passed)
+	if mayBlock := r.Size()+len(c.writeBuffer) > minSocketBuffer; mayBlock && !r.Probe {
+		c.netConn.SetWriteDeadline(passed.WriteBy())
+		defer c.netConn.SetWriteDeadline(time.Time{})
 	}
-	err = c.write(r, gap)
-	if cap(c.out) > keptBuffer {
-		c.out = nil
+	err = c.write(r, valueOffset)
+	if cap(c.writeBuffer) > maxIdleBuffer {
+		c.writeBuffer = nil
 	}
 	return passed, err
 }
 
-// write writes a request, with a value in parts put into its gap.
-func (c *conn) write(r *engine.Request, gap int) error {
-	if gap == 0 {
-		n, err := c.nc.Write(c.out)
-		if n < len(c.out) && err == nil {
+// write writes a request, inserting the parts of a long value at valueOffset; 0 means that there are none.
+func (c *conn) write(r *engine.Request, valueOffset int) error {
+	if valueOffset == 0 {
+		n, err := c.netConn.Write(c.writeBuffer)
+		if n < len(c.writeBuffer) && err == nil {
 			err = io.ErrShortWrite
 		}
 		return err
 	}
-	all := append(append(net.Buffers{c.out[:gap]}, r.Parts...), c.out[gap:])
-	_, err := all.WriteTo(c.nc)
+	buffers := append(append(net.Buffers{c.writeBuffer[:valueOffset]}, r.Parts...), c.writeBuffer[valueOffset:])
+	_, err := buffers.WriteTo(c.netConn)
 	return err
 }
--- a/internal/pool/look.go
+++ b/internal/pool/socket.go
@@ -8,25 +8,26 @@
 	"golang.org/x/sys/unix"
 )
 
-// holds tells whether our system still has bytes that the server's has not said to have.
-func (c *conn) holds() (some bool) {
-	if socket, ok := c.nc.(syscall.Conn); ok {
+// hasUnackedData reports whether the kernel's send queue holds bytes that the server's kernel has not acknowledged.
+func (c *conn) hasUnackedData() (unacked bool) {
+	if socket, ok := c.netConn.(syscall.Conn); ok {
 		if raw, err := socket.SyscallConn(); err == nil {
 			raw.Control(func(fd uintptr) {
 				n, err := unix.IoctlGetInt(int(fd), unix.SIOCOUTQ)
-				some = err == nil && n > 0
+				unacked = err == nil && n > 0
 			})
 		}
 	}
-	return some
+	return unacked
 }
 
-// look tells, without waiting and without taking anything, whether an idle connection is open and empty.
-func (c *conn) look() error {
-	if c.answers.Rest() > 0 {
-		return errUnasked
+// checkIdle returns an error if an idle connection was closed by the server or holds unsolicited data. It neither blocks nor
+// consumes data.
+func (c *conn) checkIdle() error {
+	if c.responses.Buffered() > 0 {
+		return errUnsolicitedData
 	}
-	socket, ok := c.nc.(syscall.Conn)
+	socket, ok := c.netConn.(syscall.Conn)
 	if !ok {
 		return nil
 	}
@@ -34,22 +35,22 @@
 	if err != nil {
 		return err
 	}
-	var found error
+	var connErr error
 	err = raw.Read(func(fd uintptr) bool {
 		var b [1]byte
 		n, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		switch {
 		case n > 0:
-			found = errUnasked
+			connErr = errUnsolicitedData
 		case err == nil:
-			found = io.EOF
+			connErr = io.EOF
 		case !errors.Is(err, syscall.EAGAIN) && !errors.Is(err, syscall.EINTR):
-			found = err
+			connErr = err
 		}
 		return true
 	})
 	if err != nil {
 		return err
 	}
-	return found
+	return connErr
 }
