--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -60,6 +60,7 @@
 	return watch, updates
 }
 
+// nextUpdate waits for an update.
 func nextUpdate(t *testing.T, updates chan update) update {
 	t.Helper()
 	select {
@@ -71,11 +72,13 @@
 	return update{}
 }
 
+// entry returns a list entry in JSON.
 func entry(id, lifecycle string) string {
 	return fmt.Sprintf(`{"instanceId":%q,"hostPort":"127.0.0.1:6379","zone":"b","machineType":"origin","cell":3,`+
 		`"lifecycle":%q,"weight":2.5,"startedAtMs":1700000000123}`, id, lifecycle)
 }
 
+// list returns a document in JSON, with a field that the watcher does not know.
 func list(generation int, reset bool, entries ...string) string {
 	return fmt.Sprintf(`{"generation":%d,"reset":%v,"instances":[%s],"more":1}`, generation, reset, strings.Join(entries, ","))
 }
@@ -230,7 +233,7 @@
 		t.Errorf("asked %q, then %q", first, second)
 	}
 	if w.addressChanges.Load() != 1 {
-		t.Errorf("%d moves", w.addressChanges.Load())
+		t.Errorf("%d address changes", w.addressChanges.Load())
 	}
 }
 
@@ -330,7 +333,7 @@
 		seen[m.ID] = true
 	}
 	if len(seen) != 700 {
-		t.Errorf("%d numbers for 700 caches", len(seen))
+		t.Errorf("%d distinct numbers for 700 caches", len(seen))
 	}
 }
 
@@ -386,7 +389,7 @@
 			text += fmt.Sprintf(" %s%d", m.Name, m.State)
 		}
 		if text != want {
-			t.Errorf("%d: told %q, not %q", i, text, want)
+			t.Errorf("update %d: %q, want %q", i, text, want)
 		}
 	}
 }
--- a/internal/discovery/document.go
+++ b/internal/discovery/document.go
@@ -186,7 +186,8 @@
 		m.Weight = *in.Weight
 	}
 	if in.StartedAtMs > 0 && in.StartedAtMs < maxStartedAtMs {
-		m.Start = policy.Time(in.StartedAtMs*10 + 9) // in units of 0.1 ms: the end of that millisecond, so that the cache is never taken for older than it is
+		// In units of 0.1 ms: the end of that millisecond, so that the cache is never taken for older than it is.
+		m.Start = policy.Time(in.StartedAtMs*10 + 9)
 	}
 	return m, nil
 }
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -35,12 +35,12 @@
 // drain. Calls after a failure are therefore short.
 const (
 	watchWait        = time.Second            // time for which the agent holds a call until the list changes
-	responseTimeout  = time.Second            // limit for a response, beyond the wait
+	responseTimeout  = time.Second            // limit for a response, beyond the wait; also the dial timeout
 	retryWait        = 20 * time.Millisecond  // wait of a call after a failure
 	retryTimeout     = 230 * time.Millisecond // limit for a response beyond the wait, for the first list and after a failure
 	initialBackoff   = 50 * time.Millisecond  // pause after the first failed call
 	maxBackoff       = 100 * time.Millisecond // limit for the pause between failed calls
-	fullTimeoutEvery = 16                     // one call in this many after a failure gets responseTimeout, so that a slow agent is heard
+	fullTimeoutEvery = 16                     // one call in this many after a failure gets responseTimeout, so that a slow agent is not ignored
 )
 
 const (
--- a/internal/origin/origin_test.go
+++ b/internal/origin/origin_test.go
@@ -144,7 +144,7 @@
 		t.Errorf("%+v", res)
 	}
 	if len(asked) != 2 || s.Opened.Load() != 1 {
-		t.Errorf("asked %d times on %d connections", len(asked), s.Opened.Load())
+		t.Errorf("%d requests on %d connections, want 2 on 1", len(asked), s.Opened.Load())
 	}
 }
 
@@ -239,7 +239,8 @@
 	long := strings.Repeat("0123456789", 20000)
 	seen := make(chan string, 4)
 	addr := listen(t, func(n int, r *http.Request, body string) string {
-		seen <- fmt.Sprint(r.Method, " ", r.URL.Path, " ", r.Header.Get("X-Trace-Id"), " ", maskDeadline(r.Header.Get("X-Props"), r.Method == http.MethodPut), " ", len(body), " ", r.UserAgent())
+		seen <- fmt.Sprint(r.Method, " ", r.URL.Path, " ", r.Header.Get("X-Trace-Id"), " ",
+			maskDeadline(r.Header.Get("X-Props"), r.Method == http.MethodPut), " ", len(body), " ", r.UserAgent())
 		if r.Method == http.MethodPut {
 			return ok
 		}
@@ -259,6 +260,6 @@
 		time.Sleep(10 * time.Millisecond)
 	}
 	if s.Opened.Load() != 1 {
-		t.Errorf("%d connections", s.Opened.Load())
+		t.Errorf("%d connections, want 1", s.Opened.Load())
 	}
 }
--- a/internal/pool/cancellation_test.go
+++ b/internal/pool/cancellation_test.go
@@ -204,7 +204,7 @@
 	r.Abandon()
 	results, _ = push(p, r)
 	if res := wait(t, results); res.Outcome != policy.NotSent || s.StaleConns.Load() != 1 {
-		t.Errorf("%+v, %d stale", res, s.StaleConns.Load())
+		t.Errorf("%+v, %d stale connections", res, s.StaleConns.Load())
 	}
 	results, _ = push(p, request("c"))
 	if res := wait(t, results); res.Outcome != policy.Acked {
@@ -383,7 +383,7 @@
 	wait(t, read)
 	wait(t, whole)
 	if abort(engine.IfUnsent) {
-		t.Error("aborted")
+		t.Error("aborted although it was delivered")
 	}
 	close(answer)
 	if r := wait(t, results); r.Outcome != policy.Acked {
@@ -407,9 +407,9 @@
 		wait(t, results)
 	}
 	if s.Open() != 3 {
-		t.Errorf("%d open", s.Open())
+		t.Errorf("%d connections open, want 3", s.Open())
 	}
 	if s.CloseIdle(); s.Open() != 0 {
-		t.Errorf("%d open", s.Open())
+		t.Errorf("%d connections open after CloseIdle", s.Open())
 	}
 }
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -112,16 +112,15 @@
 		waitUntilReusable()
 	}
 	if s.Opened.Load() != 1 || s.Reused.Load() != 1 {
-		t.Errorf("%d connections opened, %d used again", s.Opened.Load(), s.Reused.Load())
+		t.Errorf("%d connections opened, %d reused", s.Opened.Load(), s.Reused.Load())
 	}
 	p.Release()
 	if s.Open() != 0 {
-		t.Errorf("%d open after release", s.Open())
+		t.Errorf("%d connections open after Release", s.Open())
 	}
 }
 
-// Guards against an abandoned push that is still pending on an open connection: the server counts the next push as a second copy beside
-// it.
+// Guards against an aborted push that is still pending on an open connection: the server counts the next push as a second copy.
 func TestGivenUpPushIsOffItsConnectionBeforeTheNext(t *testing.T) {
 	taken, closed := make(chan int, 2), make(chan int, 2)
 	addr := listen(t, func(n int, c net.Conn) {
@@ -131,7 +130,7 @@
 		}
 		taken <- n
 		if n == 0 {
-			io.Copy(io.Discard, r) // answers nothing
+			io.Copy(io.Discard, r) // sends no response
 			closed <- n
 			return
 		}
@@ -310,7 +309,7 @@
 		}
 	}
 	if s.Open() != 2 || s.DescriptorShortages.Load() != 0 {
-		t.Errorf("%d open, %d shortages", s.Open(), s.DescriptorShortages.Load())
+		t.Errorf("%d connections open, %d shortages", s.Open(), s.DescriptorShortages.Load())
 	}
 }
 
@@ -343,7 +342,7 @@
 		s := shared()
 		results, _ := push(pool.New(s, addr, panickingProtocol{writing: writing}), request("a"))
 		if res := wait(t, results); res.Outcome != outcome || s.Panics.Load() != 1 || s.Open() != 0 {
-			t.Errorf("%+v, %d panics, %d open", res, s.Panics.Load(), s.Open())
+			t.Errorf("%+v, %d panics, %d connections open", res, s.Panics.Load(), s.Open())
 		}
 	}
 }
@@ -410,17 +409,17 @@
 	wait(t, one)
 	wait(t, two)
 	if s.CloseExpired(time.Now()); s.Open() != 2 {
-		t.Errorf("%d open, both are healthy", s.Open())
+		t.Errorf("%d connections open, want 2 healthy ones", s.Open())
 	}
 	close(end)
 	for late := time.Now().Add(eventTimeout); s.Open() > 1 && time.Now().Before(late); s.CloseExpired(time.Now()) {
 		time.Sleep(time.Millisecond)
 	}
 	if s.Open() != 1 || s.ExpiredConns.Load() != 1 {
-		t.Errorf("%d open after one end", s.Open())
+		t.Errorf("%d connections open after the server closed one", s.Open())
 	}
 	if s.CloseExpired(time.Now().Add(s.IdleTimeout)); s.Open() != 0 {
-		t.Errorf("%d open past the idle timeout", s.Open())
+		t.Errorf("%d connections open past the idle timeout", s.Open())
 	}
 }
 
@@ -510,6 +509,6 @@
 		t.Errorf("%+v", res)
 	}
 	if words := wait(t, seen); len(words) != 5 || words[4] != string(parts[0])+string(parts[1]) {
-		t.Errorf("%d words", len(words))
+		t.Errorf("command of %d words, want 5 with the value in parts", len(words))
 	}
 }
