--- a/internal/daemon/shifts.go
+++ b/internal/daemon/shifts.go
@@ -42,7 +42,7 @@
 type shifts struct {
 	front  *front.Server
 	engine *engine.Engine
-	book   *figures.Book
+	book   *figures.Metrics
 	log    zerolog.Logger
 	born   time.Time
 	share  func(shared bool) // the limits, with another process
--- a/internal/figures/figures.go
+++ b/internal/figures/figures.go
@@ -10,8 +10,8 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// Book holds a process's figures from its start on. Names of classes are the settings'.
-type Book struct {
+// Metrics holds a process's figures from its start on. Names of classes are the settings'.
+type Metrics struct {
 	set     *metrics.Set
 	mu      sync.Mutex
 	classes map[string]*Class
@@ -24,11 +24,11 @@
 	Sites, Handed            atomic.Int64 // sites that operators have taken out; caches out with them by now
 }
 
-// End is what became of an op.
-type End uint8
+// Outcome is what became of an op.
+type Outcome uint8
 
 const (
-	Served End = iota
+	Served Outcome = iota
 	Refused
 	Failed
 	ends
@@ -36,23 +36,23 @@
 
 var endNames = [ends]string{"served", "refused", "failed"}
 
-func (e End) String() string { return endNames[e] }
+func (e Outcome) String() string { return endNames[e] }
 
 // Class counts the ops of one category.
 type Class struct {
-	book *Book
+	book *Metrics
 	of   [ends]*metrics.Counter
 }
 
 // Count books one op's end.
-func (c *Class) Count(e End) {
+func (c *Class) Count(e Outcome) {
 	c.of[e].Inc()
 	c.book.sums[e].Add(1)
 }
 
 // New opens an empty book.
-func New() *Book {
-	b := &Book{set: metrics.NewSet(), classes: map[string]*Class{}}
+func New() *Metrics {
+	b := &Metrics{set: metrics.NewSet(), classes: map[string]*Class{}}
 	b.Attempts = b.set.NewCounter("svc_attempts")
 	b.ReloadsOK = b.set.NewCounter("svc_reloads_ok")
 	b.ReloadsFailed = b.set.NewCounter("svc_reloads_failed")
@@ -64,10 +64,10 @@
 }
 
 // Gauge adds a figure that is worked out as it is asked for.
-func (b *Book) Gauge(name string, value func() float64) { b.set.NewGauge(name, value) }
+func (b *Metrics) Gauge(name string, value func() float64) { b.set.NewGauge(name, value) }
 
 // Class is the page of one category. One that was dropped, and comes back, goes on counting where it stood.
-func (b *Book) Class(name string) *Class {
+func (b *Metrics) Class(name string) *Class {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	c := b.classes[name]
@@ -81,8 +81,8 @@
 	return c
 }
 
-// Sum is the number of ops of all classes that ended so.
-func (b *Book) Sum(e End) int64 { return b.sums[e].Load() }
+// Total is the number of ops of all classes that ended so.
+func (b *Metrics) Total(e Outcome) int64 { return b.sums[e].Load() }
 
 // Write writes all figures as text, a line each.
-func (b *Book) Write(w io.Writer) { b.set.WritePrometheus(w) }
+func (b *Metrics) Write(w io.Writer) { b.set.WritePrometheus(w) }
--- a/internal/figures/figures_test.go
+++ b/internal/figures/figures_test.go
@@ -28,7 +28,7 @@
 			t.Errorf("no line %q in\n%s", want, out.String())
 		}
 	}
-	if b.Sum(Served) != 812 || b.Sum(Refused) != 1 || b.Sum(Failed) != 1 {
+	if b.Total(Served) != 812 || b.Total(Refused) != 1 || b.Total(Failed) != 1 {
 		t.Error("sums differ from the classes")
 	}
 }
--- a/internal/front/command.go
+++ b/internal/front/command.go
@@ -54,7 +54,7 @@
 }
 
 // NewNameTable maps the names of the settings to their indices, except those that have been removed.
-func NewNameTable(s settings.Settings, metrics *figures.Book) NameTable {
+func NewNameTable(s settings.Settings, metrics *figures.Metrics) NameTable {
 	n := NameTable{categories: map[string]int{}, tenants: map[string]int{}}
 	for i, name := range s.Categories {
 		n.classes = append(n.classes, metrics.Class(name))
--- a/internal/front/long_value_test.go
+++ b/internal/front/long_value_test.go
@@ -123,8 +123,8 @@
 			t.Errorf("%+v: got %d bytes that look like a complete value", failure, len(received))
 		}
 	}
-	if class := srv.Metrics.Class("read"); srv.Metrics.InFlight.Load() != 0 || class == nil || srv.Metrics.Sum(2) != 4 {
-		t.Errorf("%d requests in flight, %d failed", srv.Metrics.InFlight.Load(), srv.Metrics.Sum(2))
+	if class := srv.Metrics.Class("read"); srv.Metrics.InFlight.Load() != 0 || class == nil || srv.Metrics.Total(2) != 4 {
+		t.Errorf("%d requests in flight, %d failed", srv.Metrics.InFlight.Load(), srv.Metrics.Total(2))
 	}
 }
 
--- a/internal/front/server.go
+++ b/internal/front/server.go
@@ -35,7 +35,7 @@
 	Engine            Engine
 	Names             NameTable    // initial names; SetNames replaces them
 	MaxConns          atomic.Int64 // connections open at once
-	Metrics           *figures.Book
+	Metrics           *figures.Metrics
 	MaxLongValueBytes int64 // bytes of long values under way to caches and origin, for all clients together
 	MaxPendingBytes   int64 // bytes of unread answers, and of buffered partial commands, each for all clients together
 	Log               zerolog.Logger
@@ -214,8 +214,8 @@
 
 // MarshalZerologObject adds the counters to a log line.
 func (srv *Server) MarshalZerologObject(l *zerolog.Event) {
-	l.Int("open", srv.OpenConns()).Int64("accepted", srv.accepted.Load()).Int64("acked", srv.Metrics.Sum(figures.Served)).
-		Int64("nacked", srv.Metrics.Sum(figures.Refused)).Int64("dead_lettered", srv.Metrics.Sum(figures.Failed)).
+	l.Int("open", srv.OpenConns()).Int64("accepted", srv.accepted.Load()).Int64("acked", srv.Metrics.Total(figures.Served)).
+		Int64("nacked", srv.Metrics.Total(figures.Refused)).Int64("dead_lettered", srv.Metrics.Total(figures.Failed)).
 		Int64("turned_away", srv.rejected.Load()).Int64("twice", srv.duplicates.Load()).Int64("malformed", srv.malformed.Load()).
 		Int64("panics", srv.panics.Load()).Int64("slow", srv.slowReaders.Load()).Int64("silent", srv.silentTimeouts.Load()).
 		Int64("half", srv.partialTimeouts.Load()).Int64("idle", srv.idleTimeouts.Load()).Int64("evicted", srv.evicted.Load()).
--- a/internal/front/slot.go
+++ b/internal/front/slot.go
@@ -15,7 +15,7 @@
 	conn    *conn
 	op      *engine.Op // nil for a command that needs no op
 	class   *figures.Class
-	outcome figures.End // of the answer; counted once it is written
+	outcome figures.Outcome // of the answer; counted once it is written
 	answer  []byte      // nil until there is one; the head of the answer if there is a body
 	body    engine.Body // of a long value, written after answer
 }
@@ -46,7 +46,7 @@
 
 // setAnswer records the slot's only answer. All of it is set under the mutex: when the client leaves at that moment,
 // another goroutine closes the slots.
-func (s *slot) setAnswer(outcome figures.End, answer []byte, body engine.Body) {
+func (s *slot) setAnswer(outcome figures.Outcome, answer []byte, body engine.Body) {
 	c := s.conn
 	c.mu.Lock()
 	s.body = body
