--- a/cmd/mintbase/main.go
+++ b/cmd/mintbase/main.go
@@ -12,8 +12,8 @@
 
 func main() {
 	name := os.Getenv("MINTBASE_RULE")
-	if baseline.IsPlanted(name) {
-		fmt.Fprintln(os.Stderr, "mintbase:", baseline.ServePlanted(name, os.Getenv("BALANCER_CONFIG")))
+	if baseline.IsFaulty(name) {
+		fmt.Fprintln(os.Stderr, "mintbase:", baseline.ServeFaulty(name, os.Getenv("BALANCER_CONFIG")))
 		os.Exit(1)
 	}
 	if _, err := baseline.New(name, policy.Settings{}, 0, nil); err != nil {
--- a/cmd/mintlab/main.go
+++ b/cmd/mintlab/main.go
@@ -174,10 +174,10 @@
 				}
 				all = append(all, r)
 				fmt.Fprintf(cmd.OutOrStdout(), "%sreport: %s\n\n", r.Summary(), filepath.Join(o.Dir, "report.html"))
-				if j.drawn > 0 && r.Status() == broken {
+				if j.drawn > 0 && r.ExitStatus() == broken {
 					fmt.Fprintf(cmd.OutOrStdout(), "again: mintlab run %s --seeds %d --drawn 1 --drawn-from %d\n\n", j.path, j.seed, j.drawn)
 				}
-				if s := r.Status(); s == broken || s > worst && worst != broken {
+				if s := r.ExitStatus(); s == broken || s > worst && worst != broken {
 					worst = s
 				}
 				select {
@@ -309,8 +309,8 @@
 				return err
 			}
 			r := report.Result{Name: x.Name, Seed: x.Seed, Rule: "ledger", Verdict: v}
-			fmt.Fprintf(cmd.OutOrStdout(), "%sjudged in %v; %d ops held at once; whole: %v\n", r.Summary(), time.Since(from).Round(time.Millisecond), v.MostOpen, v.Whole)
-			if !v.Kept() {
+			fmt.Fprintf(cmd.OutOrStdout(), "%sjudged in %v; %d ops held at once; whole: %v\n", r.Summary(), time.Since(from).Round(time.Millisecond), v.MaxOpenOps, v.Complete)
+			if !v.Passed() {
 				return status(broken)
 			}
 			return nil
@@ -334,7 +334,7 @@
 		Long: `Reads all DIR/*.log, one proxy's each, as written with MINTTRAY_COUNTERS=1s, with or without a time in seconds
 ahead of each line, and prints what the fleet counted in each span. Lines that can't be read are counted by reason.`,
 		RunE: func(cmd *cobra.Command, args []string) error {
-			sum, err := logsum.Dir(args[0], span)
+			sum, err := logsum.ReadDir(args[0], span)
 			if err != nil {
 				return err
 			}
--- a/cmd/mintlab/worth.go
+++ b/cmd/mintlab/worth.go
@@ -17,7 +17,7 @@
 site, prints a row for each mechanism, and puts the source back. Run it from the root, with the source committed.`,
 		Args: cobra.MinimumNArgs(2),
 		RunE: func(_ *cobra.Command, args []string) error {
-			plan, err := worth.Read(args[0])
+			plan, err := worth.ReadPlan(args[0])
 			if err != nil {
 				return err
 			}
--- a/lab/baseline/planted.go
+++ b/lab/baseline/planted.go
@@ -15,10 +15,10 @@
 
 // Names of proxies that are no rules, but planted faults which no rule can bring about, as the engine refuses. The ledger has to find them.
 const (
-	Deaf           = "deaf"            // sends each request on after a while, without a look whether its client is there still
-	ClientDeadline = "client-deadline" // sends each request on twice, the second time a while later, with the client's own deadline
-	DropsRead      = "drops-read"      // closes the connection on some requests that it has read
-	DropsAnswer    = "drops-answer"    // closes it on some whose answer has come and is not written
+	IgnoresClientClose           = "deaf"            // sends each request on after a while, without a look whether its client is there still
+	ForwardsClientDeadline = "client-deadline" // sends each request on twice, the second time a while later, with the client's own deadline
+	ClosesAfterRead      = "drops-read"      // closes the connection on some requests that it has read
+	ClosesBeforeReply    = "drops-answer"    // closes it on some whose answer has come and is not written
 )
 
 // planted is what such a proxy does with a request.
@@ -32,20 +32,20 @@
 const dropEvery = 7 // requests
 
 var allPlanted = map[string]planted{
-	Deaf:           {hold: 1200 * time.Millisecond},
-	ClientDeadline: {twice: true, hold: 400 * time.Millisecond},
-	DropsRead:      {dropsRead: true},
-	DropsAnswer:    {dropsAnswer: true},
+	IgnoresClientClose:           {hold: 1200 * time.Millisecond},
+	ForwardsClientDeadline: {twice: true, hold: 400 * time.Millisecond},
+	ClosesAfterRead:      {dropsRead: true},
+	ClosesBeforeReply:    {dropsAnswer: true},
 }
 
-// IsPlanted tells whether a name is that of a planted fault.
-func IsPlanted(name string) bool {
+// IsFaulty tells whether a name is that of a planted fault.
+func IsFaulty(name string) bool {
 	_, known := allPlanted[name]
 	return known
 }
 
-// ServePlanted runs a planted fault by a proxy's configuration file; it comes back with an error only.
-func ServePlanted(name, path string) error {
+// ServeFaulty runs a planted fault by a proxy's configuration file; it comes back with an error only.
+func ServeFaulty(name, path string) error {
 	fault := allPlanted[name]
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/lab/faults/sites.go
+++ b/lab/faults/sites.go
@@ -75,7 +75,7 @@
 
 // breaks puts a rule, and books that ways are broken until it is over.
 func (p *Player) breaks(r ways.Rule) (end func()) {
-	book := func(on uint32) { p.w.Book.Put(ledger.Record{Kind: ledger.Blind, At: p.w.Now(), C: on}) }
+	book := func(on uint32) { p.w.Book.Append(ledger.Record{Kind: ledger.LinkFault, At: p.w.Now(), C: on}) }
 	book(1)
 	over := p.w.Ways.Put(r)
 	return func() {
--- a/lab/ledger/history.go
+++ b/lab/ledger/history.go
@@ -17,19 +17,19 @@
 func (r Record) String() string {
 	at := r.At.Round(100 * time.Microsecond)
 	switch r.Kind {
-	case Sent:
+	case OpSent:
 		return fmt.Sprintf("%v sent to proxy life %d, category %d, waits %v", at, r.A, r.B, time.Duration(r.C)*time.Microsecond)
-	case Answer:
+	case OpAnswered:
 		return fmt.Sprintf("%v answer: %s, come back in %d ms", at, name(answerNames, r.A), r.B)
-	case Left:
+	case ClientLeft:
 		return fmt.Sprintf("%v its client goes away", at)
-	case Push:
+	case PushReceived:
 		return fmt.Sprintf("%v push at server %d, connection %d", at, r.A, r.B)
-	case Over:
+	case PushEnded:
 		return fmt.Sprintf("%v push over at server %d, connection %d: %s", at, r.A, r.B, name(endNames, r.C))
-	case Passed:
+	case DeadlineForwarded:
 		return fmt.Sprintf("%v a deadline of %v passed to server %d, connection %d", at, time.Duration(r.C)*time.Microsecond, r.A, r.B)
-	case Told:
+	case StateAnnounced:
 		return fmt.Sprintf("%v proxy life %d told that server %d is %s", at, r.A, r.B, name(stateNames, r.C))
 	}
 	return fmt.Sprintf("%v %d %d %d %d", at, r.Kind, r.A, r.B, r.C)
--- a/lab/ledger/judge.go
+++ b/lab/ledger/judge.go
@@ -38,7 +38,7 @@
 
 // Judge goes through a ledger's records. Its verdict hangs on times, not on the order of lines.
 type Judge struct {
-	terms   Terms
+	terms   RuleParams
 	open    map[uint64]*entry
 	due     []*entry // in the order of their first record
 	gone    map[uint32]Record
@@ -52,53 +52,53 @@
 }
 
 // NewJudge makes one.
-func NewJudge(t Terms) *Judge {
+func NewJudge(t RuleParams) *Judge {
 	return &Judge{terms: t, open: map[uint64]*entry{}, gone: map[uint32]Record{}, told: map[[2]uint32][]told{}, hands: map[[2]uint32][]told{},
-		servers: map[uint32]*server{}, stalls: map[uint32][]told{}, v: Verdict{Answers: map[string]int{}, Broken: map[string]int{}}}
+		servers: map[uint32]*server{}, stalls: map[uint32][]told{}, v: Verdict{Answers: map[string]int{}, Violations: map[string]int{}}}
 }
 
-// Take takes the next record.
-func (j *Judge) Take(r Record) {
+// Add takes the next record.
+func (j *Judge) Add(r Record) {
 	j.now = max(j.now, r.At)
 	switch r.Kind {
-	case Told:
+	case StateAnnounced:
 		k := [2]uint32{r.A, r.B}
 		j.told[k] = append(j.told[k], told{r.At, r.C})
 		slices.SortStableFunc(j.told[k], func(a, b told) int { return int(a.at - b.at) })
-	case Hand:
+	case OperatorOverride:
 		k := [2]uint32{r.A, r.B}
 		j.hands[k] = append(j.hands[k], told{r.At, r.C})
 		slices.SortStableFunc(j.hands[k], func(a, b told) int { return int(a.at - b.at) })
-	case Stalled:
+	case ProxyStalled:
 		j.stalls[r.A] = append(j.stalls[r.A], told{r.At, r.C})
-	case Blind:
+	case LinkFault:
 		at := r.At
 		if r.C == 0 { // what was out when the way broke is waited for
 			at += j.longest()
 		}
 		j.blind = append(j.blind, told{at, r.C})
-	case Started:
+	case ServerStarted:
 		j.warm(r.A)
 		j.servers[r.A] = &server{start: r.At, capacity: float64(r.B) / 1000, cold: r.C == 1}
-	case Gone:
+	case ProxyExited:
 		j.gone[r.A] = r
-	case Finished:
-		j.v.Whole = true
+	case RunFinished:
+		j.v.Complete = true
 	default:
 		e := j.open[r.Op]
 		if e == nil {
 			e = &entry{op: r.Op}
 			j.open[r.Op] = e
 			j.due = append(j.due, e)
-			j.v.MostOpen = max(j.v.MostOpen, len(j.open))
+			j.v.MaxOpenOps = max(j.v.MaxOpenOps, len(j.open))
 		}
 		e.events = append(e.events, r)
-		if r.Kind == Sent {
+		if r.Kind == OpSent {
 			e.sent = true
 			e.until = r.At + time.Duration(r.C)*time.Microsecond
 		}
 		e.until = max(e.until, r.At)
-		if r.Kind == Push {
+		if r.Kind == PushReceived {
 			j.v.Pushes++
 			if s := j.servers[r.A]; s != nil && s.cold && r.At-s.start < j.terms.WarmUp {
 				s.work = append(s.work, r)
@@ -118,8 +118,8 @@
 	return ttl
 }
 
-// End gives the verdict.
-func (j *Judge) End() *Verdict {
+// Finish gives the verdict.
+func (j *Judge) Finish() *Verdict {
 	for _, e := range j.due {
 		j.close(e)
 	}
@@ -131,11 +131,11 @@
 }
 
 func (j *Judge) find(rule string, e *entry, format string, args ...any) {
-	j.v.Broken[rule]++
+	j.v.Violations[rule]++
 	if len(j.v.Findings) >= mostFindings {
 		return
 	}
-	f := Finding{Rule: rule, What: fmt.Sprintf(format, args...)}
+	f := Finding{Rule: rule, Message: fmt.Sprintf(format, args...)}
 	if e != nil {
 		f.Op = fmt.Sprintf("%016x", e.op)
 		for _, r := range e.events {
--- a/lab/ledger/ledger.go
+++ b/lab/ledger/ledger.go
@@ -19,55 +19,55 @@
 
 // The kinds, with what A, B and C hold.
 const (
-	Sent     Kind = iota // an op's last byte is written to an accepted connection: A proxy life, B category, C wait in µs
-	Answer               // its client got: A an Answers value, B come-back in ms
-	Left                 // its client went away by itself: A 1 if it closed its connection, and the way to the proxy is whole
-	Push                 // a server has a push's last byte: A server, B connection, C work in µs
-	Over                 // a push is over there: A server, B connection, C an Ends value
-	Told                 // a proxy was told of a server: A proxy life, B server, C a States value
-	Started              // a server started: A server, B its capacity in thousandths of a core, C 1 if it is cold
-	Gone                 // a proxy's process ended: A proxy life, C a Deaths value
-	Effect               // a write was carried out: A server
-	Finished             // the run was whole
-	Hand                 // an operator was told yes: A proxy life, B server, C 1 for out, 0 for back
-	Stalled              // a proxy's process was stopped, or goes on: A proxy life, C 1 or 0
-	Blind                // ways between processes break, or are whole again: C 1 or 0; pushes on them may be seen by nobody
-	Passed               // the deadline that a push passed to its server: A server, B connection, C in µs, 0 for none
+	OpSent     Kind = iota // an op's last byte is written to an accepted connection: A proxy life, B category, C wait in µs
+	OpAnswered               // its client got: A an Answers value, B come-back in ms
+	ClientLeft                 // its client went away by itself: A 1 if it closed its connection, and the way to the proxy is whole
+	PushReceived                 // a server has a push's last byte: A server, B connection, C work in µs
+	PushEnded                 // a push is over there: A server, B connection, C an Ends value
+	StateAnnounced                 // a proxy was told of a server: A proxy life, B server, C a States value
+	ServerStarted              // a server started: A server, B its capacity in thousandths of a core, C 1 if it is cold
+	ProxyExited                 // a proxy's process ended: A proxy life, C a Deaths value
+	WriteApplied               // a write was carried out: A server
+	RunFinished             // the run was whole
+	OperatorOverride                 // an operator was told yes: A proxy life, B server, C 1 for out, 0 for back
+	ProxyStalled              // a proxy's process was stopped, or goes on: A proxy life, C 1 or 0
+	LinkFault                // ways between processes break, or are whole again: C 1 or 0; pushes on them may be seen by nobody
+	DeadlineForwarded               // the deadline that a push passed to its server: A server, B connection, C in µs, 0 for none
 )
 
 // Answers are what a client can get.
 const (
-	Acked = iota
-	Nacked
-	Dead    // an error: no promise
-	Closed  // the connection ended with the answer owed
-	Foreign // a value that was made for another op, or for none
-	Half    // a value that began and did not end
-	Crossed // a connection used before ended as the op was written: a proxy may close one between ops
+	AnswerAcked = iota
+	AnswerNacked
+	AnswerDeadLettered    // an error: no promise
+	AnswerClosed  // the connection ended with the answer owed
+	AnswerWrongValue // a value that was made for another op, or for none
+	AnswerTruncated    // a value that began and did not end
+	AnswerIdleClosed // a connection used before ended as the op was written: a proxy may close one between ops
 )
 
 // Ends are how a push is over at its server.
 const (
-	Answered = iota
-	Missed
-	Refused // never ran
-	Failed
-	Dropped // the connection ended
-	Silent  // no answer will ever come; the connection is still open
+	EndAnswered = iota
+	EndMissed
+	EndRefused // never ran
+	EndFailed
+	EndConnLost // the connection ended
+	EndUnanswered  // no answer will ever come; the connection is still open
 )
 
 // States are what a list can say of a server.
 const (
-	Active = iota
-	Leaving
-	Out
+	StateActive = iota
+	StateLeaving
+	StateOut
 )
 
 // Deaths are how a proxy's process ended.
 const (
-	Crashed    = iota // by itself
-	Killed            // by SIGKILL, with no warning that counts: what it held is excused
-	Terminated        // after SIGTERM, by itself or by the SIGKILL that follows: nothing that it held is excused
+	ExitCrashed    = iota // by itself
+	ExitKilled            // by SIGKILL, with no warning that counts: what it held is excused
+	ExitTerminated        // after SIGTERM, by itself or by the SIGKILL that follows: nothing that it held is excused
 )
 
 // Record is one line of the ledger.
@@ -80,8 +80,8 @@
 
 const size = 32 // of a record on disk
 
-// Book takes records from any goroutine; it never waits for the disk while there is room in its buffer.
-type Book struct {
+// Writer takes records from any goroutine; it never waits for the disk while there is room in its buffer.
+type Writer struct {
 	mu   sync.Mutex
 	out  *bufio.Writer
 	file *os.File
@@ -90,16 +90,16 @@
 }
 
 // Create starts a ledger in a file.
-func Create(path string) (*Book, error) {
+func Create(path string) (*Writer, error) {
 	f, err := os.Create(path)
 	if err != nil {
 		return nil, err
 	}
-	return &Book{out: bufio.NewWriterSize(f, 1<<20), file: f}, nil
+	return &Writer{out: bufio.NewWriterSize(f, 1<<20), file: f}, nil
 }
 
-// Put writes a record down. An error of the disk is kept, and voids the run.
-func (b *Book) Put(r Record) {
+// Append writes a record down. An error of the disk is kept, and voids the run.
+func (b *Writer) Append(r Record) {
 	var raw [size]byte
 	raw[0] = byte(r.Kind)
 	binary.LittleEndian.PutUint64(raw[4:], uint64(r.At))
@@ -116,7 +116,7 @@
 }
 
 // Close ends the ledger, and tells how many records it has and whether the disk took them all.
-func (b *Book) Close() (int64, error) {
+func (b *Writer) Close() (int64, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.n, errors.Join(b.err, b.out.Flush(), b.file.Close())
@@ -133,7 +133,7 @@
 		} else if err != nil {
 			return err
 		}
-		if raw[0] > byte(Passed) {
+		if raw[0] > byte(DeadlineForwarded) {
 			return fmt.Errorf("a record of unknown kind %d", raw[0])
 		}
 		each(Record{Kind(raw[0]), time.Duration(binary.LittleEndian.Uint64(raw[4:])), binary.LittleEndian.Uint64(raw[12:]),
--- a/lab/ledger/rules.go
+++ b/lab/ledger/rules.go
@@ -14,12 +14,12 @@
 }
 
 // mayHaveRun tells whether nothing proves that it had no effect.
-func (p push) mayHaveRun() bool { return p.over < 0 || p.how != Refused && p.how != Missed }
+func (p push) mayHaveRun() bool { return p.over < 0 || p.how != EndRefused && p.how != EndMissed }
 
 // killed books an op that a proxy which was ended had, or may have had.
 func (j *Judge) killed(pushes []push) {
-	if j.v.Killed++; len(pushes) > 0 {
-		j.v.Taken++
+	if j.v.KilledOps++; len(pushes) > 0 {
+		j.v.KilledAfterPush++
 	}
 }
 
@@ -37,17 +37,17 @@
 	h := trace{left: -1, closed: -1}
 	for _, r := range e.events {
 		switch r.Kind {
-		case Sent:
+		case OpSent:
 			h.sent = r
-		case Left:
+		case ClientLeft:
 			if h.left = r.At; r.A == 1 {
 				h.closed = r.At
 			}
-		case Answer:
+		case OpAnswered:
 			h.answers = append(h.answers, r)
-		case Push:
+		case PushReceived:
 			h.pushes = append(h.pushes, push{r, -1, 0})
-		case Over:
+		case PushEnded:
 			h.ended(r)
 		}
 	}
@@ -92,16 +92,16 @@
 	proxy := h.sent.A
 	end := h.sent.At + wait + j.terms.Slack
 	gone, dead := j.gone[proxy]
-	ended := dead && gone.C == Killed && gone.At < end
+	ended := dead && gone.C == ExitKilled && gone.At < end
 	switch {
 	case len(h.answers) == 0 && h.left >= 0:
-		j.v.Left++
+		j.v.ClientsLeft++
 		return first
 	case len(h.answers) == 0 && ended:
 		j.killed(h.pushes)
 		return first
 	case j.stood(proxy, h.sent.At, end) && (len(h.answers) == 0 || h.answers[0].At > end):
-		j.v.Stalled++
+		j.v.StalledOps++
 		if len(h.answers) == 0 { // its client went away when it was to
 			return first
 		}
@@ -109,27 +109,27 @@
 		j.v.Answers[name(answerNames, first.A)]++
 		return first
 	case len(h.answers) == 0:
-		j.find(Lost, e, "no final answer within %v, %s", wait, h.stood(h.sent.At+wait))
+		j.find(RuleAnswerLost, e, "no final answer within %v, %s", wait, h.stood(h.sent.At+wait))
 		return first
 	}
 	first = h.answers[0]
 	switch {
-	case (first.A == Closed || first.A == Half || first.A == Crossed) && ended && first.At >= gone.At-j.terms.Slack:
+	case (first.A == AnswerClosed || first.A == AnswerTruncated || first.A == AnswerIdleClosed) && ended && first.At >= gone.At-j.terms.Slack:
 		j.killed(h.pushes) // also with an answer half written: its client can tell
 		first.A = killed
-	case first.A == Crossed && len(h.pushes) == 0: // its client asks once more
-	case first.A == Closed || first.A == Crossed || first.A == Half && len(h.pushes) == 0:
-		j.find(Lost, e, "the connection ended with the answer owed, %s", h.stood(first.At))
-	case first.A == Foreign:
-		j.find(Lost, e, "served a value that no server made for it")
+	case first.A == AnswerIdleClosed && len(h.pushes) == 0: // its client asks once more
+	case first.A == AnswerClosed || first.A == AnswerIdleClosed || first.A == AnswerTruncated && len(h.pushes) == 0:
+		j.find(RuleAnswerLost, e, "the connection ended with the answer owed, %s", h.stood(first.At))
+	case first.A == AnswerWrongValue:
+		j.find(RuleAnswerLost, e, "served a value that no server made for it")
 	case first.At > end && (h.left < 0 || h.left > end):
-		j.find(Lost, e, "answered %v after it was sent, %v later than its client waits", first.At-h.sent.At, first.At-end)
+		j.find(RuleAnswerLost, e, "answered %v after it was sent, %v later than its client waits", first.At-h.sent.At, first.At-end)
 	}
 	if first.A != killed {
 		j.v.Answers[name(answerNames, first.A)]++
 	}
 	if len(h.answers) > 1 {
-		j.find(Twice, e, "%d final answers", len(h.answers))
+		j.find(RuleAnsweredTwice, e, "%d final answers", len(h.answers))
 	}
 	return first
 }
@@ -140,7 +140,7 @@
 	for _, p := range h.pushes {
 		switch {
 		case p.At > at:
-		case p.over >= 0 && p.over <= at && p.how == Answered:
+		case p.over >= 0 && p.over <= at && p.how == EndAnswered:
 			return "with its server's answer not written"
 		case p.over < 0 || p.over > at:
 			stood = "with an attempt out"
@@ -159,7 +159,7 @@
 	for _, p := range h.pushes {
 		excused := j.stood(h.sent.A, h.closed, p.At) || overlap(j.blind, h.closed, p.At)
 		if p.At > h.closed+leftWithin+j.terms.Slack && !excused {
-			j.find(SentOn, e, "pushed %v after its client had left", p.At-h.closed)
+			j.find(RulePushAfterClientLeft, e, "pushed %v after its client had left", p.At-h.closed)
 		}
 	}
 }
@@ -168,7 +168,7 @@
 func (j *Judge) after(e *entry, h trace, first Record) {
 	for _, p := range h.pushes {
 		if p.At > first.At+j.terms.Slack {
-			j.find(After, e, "pushed %v after its final answer", p.At-first.At)
+			j.find(RulePushAfterAnswer, e, "pushed %v after its final answer", p.At-first.At)
 		}
 	}
 }
@@ -179,50 +179,50 @@
 	for _, p := range h.pushes {
 		switch {
 		case p.At >= first.At:
-		case p.over >= 0 && p.over < first.At && p.how != Silent: // one that nobody answers is out on an open connection
+		case p.over >= 0 && p.over < first.At && p.how != EndUnanswered: // one that nobody answers is out on an open connection
 			last = max(last, p.over)
 		default:
 			last = first.At
 		}
 	}
-	refused := first.A == Nacked || first.A == Dead
+	refused := first.A == AnswerNacked || first.A == AnswerDeadLettered
 	excused := j.stood(h.sent.A, last, first.At) || overlap(j.blind, last, first.At) // what is out on a broken way is seen by no server
 	if !refused || h.left >= 0 || excused {
 		return
 	}
 	held := first.At - last
-	j.v.HeldMost = max(j.v.HeldMost, held)
-	if c.Held > 0 && held > c.Held+j.terms.Slack {
-		j.find(HeldBack, e, "given up, and kept back for %v with nothing out", held)
+	j.v.MaxRefusalDelay = max(j.v.MaxRefusalDelay, held)
+	if c.MaxRefusalDelay > 0 && held > c.MaxRefusalDelay+j.terms.Slack {
+		j.find(RuleDelayedRefusal, e, "given up, and kept back for %v with nothing out", held)
 	}
 }
 
 // copies looks for effects that may have happened twice, and for refusals that promised too much.
 func (j *Judge) copies(e *entry, c Category, pushes []push, answers []Record) {
-	if len(pushes) > j.terms.MostPushes {
-		j.find(TooMany, e, "%d pushes, %d are allowed", len(pushes), j.terms.MostPushes)
+	if len(pushes) > j.terms.MaxPushes {
+		j.find(RuleTooManyPushes, e, "%d pushes, %d are allowed", len(pushes), j.terms.MaxPushes)
 	}
 	for i, p := range pushes {
 		for _, q := range pushes[:i] {
-			if !j.terms.TwoAtOnce && (q.over < 0 || q.over > p.At+j.terms.Slack) && q.how != Dropped {
-				j.find(Copies, e, "a push while another was out on an open connection")
+			if !j.terms.AllowConcurrentPushes && (q.over < 0 || q.over > p.At+j.terms.Slack) && q.how != EndConnLost {
+				j.find(RuleDuplicateEffect, e, "a push while another was out on an open connection")
 			}
-			ran := q.mayHaveRun() && !(q.over >= 0 && q.over > p.At+j.terms.Slack && (q.how == Refused || q.how == Missed))
+			ran := q.mayHaveRun() && !(q.over >= 0 && q.over > p.At+j.terms.Slack && (q.how == EndRefused || q.how == EndMissed))
 			switch {
 			case !ran || c.Effect == "redeliverable":
 			case c.Effect == "at-most-once":
-				j.find(Copies, e, "an at-most-once op pushed again though it may have run")
-			case p.At > q.At+c.Window:
-				j.find(Copies, e, "a repeat %v after the first, its window is %v", p.At-q.At, c.Window)
-			case c.Zone && j.terms.ServerZone[p.A] != j.terms.ServerZone[q.A]:
-				j.find(Copies, e, "a repeat outside the zone that drops it")
+				j.find(RuleDuplicateEffect, e, "an at-most-once op pushed again though it may have run")
+			case p.At > q.At+c.DedupWindow:
+				j.find(RuleDuplicateEffect, e, "a repeat %v after the first, its window is %v", p.At-q.At, c.DedupWindow)
+			case c.ZoneScopedDedup && j.terms.ServerZone[p.A] != j.terms.ServerZone[q.A]:
+				j.find(RuleDuplicateEffect, e, "a repeat outside the zone that drops it")
 			}
 		}
 	}
-	if len(answers) > 0 && answers[0].A == Nacked && c.Effect != "redeliverable" {
+	if len(answers) > 0 && answers[0].A == AnswerNacked && c.Effect != "redeliverable" {
 		for _, p := range pushes {
-			if p.mayHaveRun() && p.At < answers[0].At && (c.Effect == "at-most-once" || c.Zone) {
-				j.find(Promise, e, "nacked though a push may have run")
+			if p.mayHaveRun() && p.At < answers[0].At && (c.Effect == "at-most-once" || c.ZoneScopedDedup) {
+				j.find(RuleUnsafeNack, e, "nacked though a push may have run")
 			}
 		}
 	}
@@ -231,15 +231,15 @@
 // deadlines looks for pushes that passed their server more than was left of the time up to end, when their client stops waiting.
 func (j *Judge) deadlines(e *entry, end time.Duration) {
 	for _, r := range e.events {
-		if r.Kind != Passed {
+		if r.Kind != DeadlineForwarded {
 			continue
 		}
-		j.v.Deadlines++
+		j.v.DeadlinesChecked++
 		passed, left := time.Duration(r.C)*time.Microsecond, end-r.At
 		if passed <= 0 {
-			j.find(Deadline, e, "pushed to server %d with no deadline", r.A)
+			j.find(RuleDeadline, e, "pushed to server %d with no deadline", r.A)
 		} else if passed > left+deadlineTolerance {
-			j.find(Deadline, e, "passed server %d a deadline of %v, %v were left", r.A, passed, left)
+			j.find(RuleDeadline, e, "passed server %d a deadline of %v, %v were left", r.A, passed, left)
 		}
 	}
 }
@@ -260,7 +260,7 @@
 		for _, t := range j.told[[2]uint32{proxy, p.A}] {
 			switch {
 			case t.at > p.At:
-			case t.state == Active:
+			case t.state == StateActive:
 				since = -1
 			case since < 0:
 				since = heard(t.at)
@@ -277,9 +277,9 @@
 			}
 		}
 		if by >= 0 && p.At > by+j.terms.Slack { // from the yes on: no grace
-			j.find(Drained, e, "pushed to server %d %v after an operator was told that it is out", p.A, p.At-by)
-		} else if since >= 0 && p.At > since+j.terms.Grace+j.terms.Slack {
-			j.find(Drained, e, "pushed to server %d %v after the proxy was told that it drains or is gone", p.A, p.At-since)
+			j.find(RuleDrainedServer, e, "pushed to server %d %v after an operator was told that it is out", p.A, p.At-by)
+		} else if since >= 0 && p.At > since+j.terms.DrainGrace+j.terms.Slack {
+			j.find(RuleDrainedServer, e, "pushed to server %d %v after the proxy was told that it drains or is gone", p.A, p.At-since)
 		}
 	}
 }
@@ -287,25 +287,25 @@
 // warm judges the cold time of a server: the work that it was sent in any window, against what it can do then.
 func (j *Judge) warm(id uint32) {
 	s := j.servers[id]
-	if s == nil || !s.cold || j.terms.FallMultiple == 0 {
+	if s == nil || !s.cold || j.terms.OverloadFactor == 0 {
 		return
 	}
 	slices.SortFunc(s.work, func(a, b Record) int { return int(a.At - b.At) })
 	sum, from := 0.0, 0
 	for i, r := range s.work {
 		sum += float64(r.C) / 1e6
-		for s.work[from].At < r.At-j.terms.TipAfter {
+		for s.work[from].At < r.At-j.terms.OverloadWindow {
 			sum -= float64(s.work[from].C) / 1e6
 			from++
 		}
-		begin := max(r.At-j.terms.TipAfter, s.start)
+		begin := max(r.At-j.terms.OverloadWindow, s.start)
 		middle := float64(begin+r.At)/2 - float64(s.start)
-		share := j.terms.ColdFrom + (1-j.terms.ColdFrom)*min(middle/float64(j.terms.WarmUp), 1)
-		bound := j.terms.FallMultiple*share*s.capacity*j.terms.TipAfter.Seconds() + 0.25*s.capacity
-		j.v.ColdMost = max(j.v.ColdMost, sum/bound)
+		share := j.terms.ColdCapacityShare + (1-j.terms.ColdCapacityShare)*min(middle/float64(j.terms.WarmUp), 1)
+		bound := j.terms.OverloadFactor*share*s.capacity*j.terms.OverloadWindow.Seconds() + 0.25*s.capacity
+		j.v.MaxColdLoad = max(j.v.MaxColdLoad, sum/bound)
 		if sum > bound {
-			j.find(PushedIn, nil, "server %d, %v after its start: %.2f core seconds of work in %v, %.2f are its bound (%d pushes)",
-				id, r.At-s.start, sum, j.terms.TipAfter, bound, i-from+1)
+			j.find(RuleColdOverload, nil, "server %d, %v after its start: %.2f core seconds of work in %v, %.2f are its bound (%d pushes)",
+				id, r.At-s.start, sum, j.terms.OverloadWindow, bound, i-from+1)
 			break
 		}
 	}
--- a/lab/load/conn.go
+++ b/lab/load/conn.go
@@ -77,18 +77,18 @@
 		c.mu.Unlock()
 		switch {
 		case err == nil: // with nobody waiting, this is one answer more than there may be
-			c.load.book.Put(ledger.Record{Kind: ledger.Answer, At: now, Op: op, A: how, B: uint32(back.Milliseconds())})
+			c.load.book.Append(ledger.Record{Kind: ledger.OpAnswered, At: now, Op: op, A: how, B: uint32(back.Milliseconds())})
 		case got != nil && !quit:
 			c.mu.Lock()
 			reused := c.asked > 1
 			c.mu.Unlock()
-			switch how = ledger.Closed; {
+			switch how = ledger.AnswerClosed; {
 			case errors.Is(err, errHalf):
-				how = ledger.Half
+				how = ledger.AnswerTruncated
 			case reused:
-				how = ledger.Crossed
+				how = ledger.AnswerIdleClosed
 			}
-			c.load.book.Put(ledger.Record{Kind: ledger.Answer, At: now, Op: op, A: how})
+			c.load.book.Append(ledger.Record{Kind: ledger.OpAnswered, At: now, Op: op, A: how})
 		}
 		if got != nil {
 			got <- answer{how: how, back: back}
@@ -109,31 +109,31 @@
 		if line != "" {
 			err = errHalf
 		}
-		return ledger.Closed, 0, err
+		return ledger.AnswerClosed, 0, err
 	}
 	line = strings.TrimRight(line, "\r\n")
 	switch {
 	case line == "":
-		return ledger.Dead, 0, nil
+		return ledger.AnswerDeadLettered, 0, nil
 	case strings.HasPrefix(line, "-BUSY"):
 		ms, _ := strconv.Atoi(strings.TrimSpace(line[5:]))
-		return ledger.Nacked, time.Duration(ms) * time.Millisecond, nil
+		return ledger.AnswerNacked, time.Duration(ms) * time.Millisecond, nil
 	case line[0] == '$':
 		size, err := strconv.Atoi(line[1:])
 		if err != nil || size < 0 || size > 4<<20 {
-			return ledger.Dead, 0, nil
+			return ledger.AnswerDeadLettered, 0, nil
 		}
 		value := make([]byte, size+2)
 		if _, err := io.ReadFull(r, value); err != nil {
-			return ledger.Half, 0, errHalf
+			return ledger.AnswerTruncated, 0, errHalf
 		}
 		c.mu.Lock()
 		name := c.name
 		c.mu.Unlock()
 		if !strings.HasPrefix(string(value), name+" ") {
-			return ledger.Foreign, 0, nil
+			return ledger.AnswerWrongValue, 0, nil
 		}
-		return ledger.Acked, 0, nil
+		return ledger.AnswerAcked, 0, nil
 	}
-	return ledger.Dead, 0, nil
+	return ledger.AnswerDeadLettered, 0, nil
 }
--- a/lab/load/front.go
+++ b/lab/load/front.go
@@ -16,8 +16,8 @@
 type Proxy struct {
 	Addr string
 	Zone int
-	End  ways.End
-	Life atomic.Uint32 // which of its processes serves now, over all proxies; 0: none does
+	Endpoint  ways.End
+	Incarnation atomic.Uint32 // which of its processes serves now, over all proxies; 0: none does
 
 	mu   sync.Mutex
 	died time.Time // zero: not known to have died
@@ -28,31 +28,31 @@
 	next bool      // that one is not its first
 }
 
-// Front deals connections to proxies.
-type Front struct {
+// Balancer deals connections to proxies.
+type Balancer struct {
 	Proxies []*Proxy
-	Opened  atomic.Int64
-	Refused atomic.Int64 // connections that a proxy's machine refused, or nobody answered
+	ConnsOpened  atomic.Int64
+	ConnsRefused atomic.Int64 // connections that a proxy's machine refused, or nobody answered
 
-	Ways *ways.Table // between clients and proxies; nil: nothing is wrong with them
+	Links *ways.Table // between clients and proxies; nil: nothing is wrong with them
 
 	exp *experiment.File
 }
 
-// NewFront makes one for proxies.
-func NewFront(exp *experiment.File, proxies []*Proxy) *Front {
-	return &Front{exp: exp, Proxies: proxies}
+// NewBalancer makes one for proxies.
+func NewBalancer(exp *experiment.File, proxies []*Proxy) *Balancer {
+	return &Balancer{exp: exp, Proxies: proxies}
 }
 
-// Down tells that a proxy's process is gone; the front notices only later.
-func (p *Proxy) Down() {
+// MarkDown tells that a proxy's process is gone; the front notices only later.
+func (p *Proxy) MarkDown() {
 	p.mu.Lock()
 	p.died = time.Now()
 	p.mu.Unlock()
 }
 
-// Up tells that a process of it serves.
-func (p *Proxy) Up() {
+// MarkUp tells that a process of it serves.
+func (p *Proxy) MarkUp() {
 	p.mu.Lock()
 	p.died, p.term = time.Time{}, time.Time{}
 	p.next = !p.born.IsZero()
@@ -60,8 +60,8 @@
 	p.mu.Unlock()
 }
 
-// Ending tells that its process has been sent SIGTERM.
-func (p *Proxy) Ending() {
+// MarkTerminating tells that its process has been sent SIGTERM.
+func (p *Proxy) MarkTerminating() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.term.IsZero() {
@@ -90,8 +90,8 @@
 // stillComing is how long after its first no a proxy gets clients all the same.
 const stillComing = 200 * time.Millisecond
 
-// Asked takes what PING was answered.
-func (p *Proxy) Asked(yes bool) {
+// RecordPing takes what PING was answered.
+func (p *Proxy) RecordPing(yes bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if yes {
@@ -101,8 +101,8 @@
 	}
 }
 
-// Idle is how many connections to it are open with nothing out.
-func (p *Proxy) Idle() (n int) {
+// IdleConns is how many connections to it are open with nothing out.
+func (p *Proxy) IdleConns() (n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, c := range p.idle {
@@ -114,7 +114,7 @@
 }
 
 // pick chooses a proxy: one of the client's zone, unless it is known to be dead or sends clients away.
-func (f *Front) pick(zone int, chance uint64, at time.Duration) *Proxy {
+func (f *Balancer) pick(zone int, chance uint64, at time.Duration) *Proxy {
 	for _, x := range f.exp.Fault {
 		if x.Kind == "hot-proxy" && during(x, at) && float64(Mix(chance)>>11)/(1<<53) < x.Size {
 			return f.Proxies[min(x.Count, len(f.Proxies)-1)]
@@ -150,16 +150,16 @@
 func near(zone int) ways.End { return ways.End{Site: zone, Name: "clients"} }
 
 // broken tells whether something is wrong with the ways between a zone's clients and a proxy: then an answer in time may come late.
-func (f *Front) broken(zone int, p *Proxy) bool {
-	return f.Ways != nil && f.Ways.Broken(near(zone), p.End)
+func (f *Balancer) broken(zone int, p *Proxy) bool {
+	return f.Links != nil && f.Links.Broken(near(zone), p.Endpoint)
 }
 
 // dial gives an idle connection from a zone to a proxy, or a new one.
-func (f *Front) dial(p *Proxy, zone int, l *Load) (*conn, error) {
+func (f *Balancer) dial(p *Proxy, zone int, l *Load) (*conn, error) {
 	p.mu.Lock()
 	for n := len(p.idle) - 1; n >= 0; n-- {
 		c := p.idle[n]
-		if f.Ways != nil && c.zone != zone {
+		if f.Links != nil && c.zone != zone {
 			continue
 		}
 		p.idle = slices.Delete(p.idle, n, n+1)
@@ -171,29 +171,29 @@
 	closed := p.closed()
 	p.mu.Unlock()
 	if closed {
-		f.Refused.Add(1)
+		f.ConnsRefused.Add(1)
 		return nil, errClosed
 	}
-	life := p.Life.Load()
+	life := p.Incarnation.Load()
 	var nc net.Conn
 	var err error
-	if f.Ways != nil {
-		nc, err = f.Ways.Dial(near(zone), p.End, p.Addr, time.Second)
+	if f.Links != nil {
+		nc, err = f.Links.Dial(near(zone), p.Endpoint, p.Addr, time.Second)
 	} else {
 		nc, err = net.DialTimeout("tcp", p.Addr, time.Second)
 	}
 	if err != nil {
-		f.Refused.Add(1)
+		f.ConnsRefused.Add(1)
 		return nil, err
 	}
-	f.Opened.Add(1)
-	c := &conn{nc: nc, proxy: p, zone: zone, life: max(life, p.Life.Load()), load: l}
+	f.ConnsOpened.Add(1)
+	c := &conn{nc: nc, proxy: p, zone: zone, life: max(life, p.Incarnation.Load()), load: l}
 	go c.read()
 	return c, nil
 }
 
 // back takes a connection with nothing out.
-func (f *Front) back(c *conn) {
+func (f *Balancer) back(c *conn) {
 	c.proxy.mu.Lock()
 	defer c.proxy.mu.Unlock()
 	if len(c.proxy.idle) < mostIdle && !c.ended() {
--- a/lab/load/load.go
+++ b/lab/load/load.go
@@ -17,16 +17,16 @@
 // Load asks what was drawn, and books what comes of it.
 type Load struct {
 	exp   *experiment.File
-	front *Front
-	book  *ledger.Book
+	front *Balancer
+	book  *ledger.Writer
 	meter *measure.Meter
 	start time.Time
 	tail  sync.WaitGroup
 	out   atomic.Int64
 }
 
-// Start makes one; start is when the run's clock began.
-func Start(exp *experiment.File, front *Front, book *ledger.Book, meter *measure.Meter, start time.Time) *Load {
+// NewGenerator makes one; start is when the run's clock began.
+func NewGenerator(exp *experiment.File, front *Balancer, book *ledger.Writer, meter *measure.Meter, start time.Time) *Load {
 	return &Load{exp: exp, front: front, book: book, meter: meter, start: start}
 }
 
@@ -86,7 +86,7 @@
 		got := l.try(a, c, try, wait, leave)
 		o.Span = l.now() - due
 		switch got.how {
-		case ledger.Acked:
+		case ledger.AnswerAcked:
 			o.Acked = true
 			l.meter.Take(o)
 			return
@@ -94,9 +94,9 @@
 			o.Left = true
 			l.meter.Take(o)
 			return
-		case ledger.Nacked:
+		case ledger.AnswerNacked:
 			o.Nacks++
-		case unreached, ledger.Crossed:
+		case unreached, ledger.AnswerIdleClosed:
 			// Nothing was taken, so trying again is safe.
 		default:
 			ran = true
@@ -160,7 +160,7 @@
 		return answer{how: unreached}
 	}
 	age, again := p.Age()
-	l.book.Put(ledger.Record{Kind: ledger.Sent, At: at, Op: id, A: nc.life, B: uint32(a.Category), C: uint32(wait / time.Microsecond)})
+	l.book.Append(ledger.Record{Kind: ledger.OpSent, At: at, Op: id, A: nc.life, B: uint32(a.Category), C: uint32(wait / time.Microsecond)})
 	span := wait + l.exp.Rules.Slack.D()
 	if leave > 0 {
 		span = leave
@@ -170,10 +170,10 @@
 	select {
 	case r := <-got:
 		if late := l.now() - at; late > wait && (broken || l.front.broken(a.Zone, p)) { // in time, as far as its proxy can know
-			l.book.Put(ledger.Record{Kind: ledger.Left, At: at + wait, Op: id})
+			l.book.Append(ledger.Record{Kind: ledger.ClientLeft, At: at + wait, Op: id})
 		}
-		l.meter.Try(age, again, c.Benefit, r.how == ledger.Acked && l.now()-at <= c.Target.D())
-		if r.how == ledger.Acked || r.how == ledger.Nacked || r.how == ledger.Dead {
+		l.meter.Try(age, again, c.Benefit, r.how == ledger.AnswerAcked && l.now()-at <= c.Target.D())
+		if r.how == ledger.AnswerAcked || r.how == ledger.AnswerNacked || r.how == ledger.AnswerDeadLettered {
 			l.front.back(nc)
 		}
 		return r
@@ -183,12 +183,12 @@
 		return <-got
 	}
 	if broken || l.front.broken(a.Zone, p) { // what the proxy has answered, if it has heard of it, can't be known here
-		l.book.Put(ledger.Record{Kind: ledger.Left, At: l.now(), Op: id})
+		l.book.Append(ledger.Record{Kind: ledger.ClientLeft, At: l.now(), Op: id})
 		l.meter.Try(age, again, c.Benefit, false)
 		return answer{how: silence}
 	}
 	if leave > 0 {
-		l.book.Put(ledger.Record{Kind: ledger.Left, At: l.now(), Op: id, A: 1})
+		l.book.Append(ledger.Record{Kind: ledger.ClientLeft, At: l.now(), Op: id, A: 1})
 		return answer{how: left}
 	}
 	l.meter.Try(age, again, c.Benefit, false)
--- a/lab/load/load_test.go
+++ b/lab/load/load_test.go
@@ -97,11 +97,11 @@
 		{"right", func(id string) []string { return []string{value(id)} }, ""},
 		{"in pieces", func(id string) []string { return []string{value(id)[:9], value(id)[9:]} }, ""},
 		{"refuses", func(string) []string { return []string{"-BUSY 5\r\n"} }, ""},
-		{"answers twice", func(id string) []string { return []string{value(id), "-BUSY\r\n"} }, ledger.Twice},
-		{"another's value", func(string) []string { return []string{value("00000000000000aa")} }, ledger.Lost},
-		{"half a value", func(id string) []string { return []string{value(id)[:12], ""} }, ledger.Lost},
-		{"hangs up", func(string) []string { return []string{""} }, ledger.Lost},
-		{"says nothing", func(string) []string { return nil }, ledger.Lost},
+		{"answers twice", func(id string) []string { return []string{value(id), "-BUSY\r\n"} }, ledger.RuleAnsweredTwice},
+		{"another's value", func(string) []string { return []string{value("00000000000000aa")} }, ledger.RuleAnswerLost},
+		{"half a value", func(id string) []string { return []string{value(id)[:12], ""} }, ledger.RuleAnswerLost},
+		{"hangs up", func(string) []string { return []string{""} }, ledger.RuleAnswerLost},
+		{"says nothing", func(string) []string { return nil }, ledger.RuleAnswerLost},
 	} {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -146,8 +146,8 @@
 		path := filepath.Join(t.TempDir(), "ledger")
 		book, _ := ledger.Create(path)
 		p := &Proxy{Addr: l.Addr().String()}
-		p.Life.Store(1)
-		load := Start(x, NewFront(x, []*Proxy{p}), book, measure.New(x), time.Now())
+		p.Incarnation.Store(1)
+		load := NewGenerator(x, NewBalancer(x, []*Proxy{p}), book, measure.NewMeter(x), time.Now())
 		a, _ := New(x).Next()
 		a.Leaves, a.Patience = 0, 0.3
 		load.ask(a, load.now())
@@ -157,12 +157,12 @@
 		}
 		l.Close()
 		in, _ := os.Open(path)
-		j := ledger.NewJudge(ledger.Terms{Categories: []ledger.Category{{TTL: 2 * time.Second, Effect: "redeliverable"}}, Slack: time.Second, MostPushes: 5})
-		if err := ledger.Read(in, j.Take); err != nil {
+		j := ledger.NewJudge(ledger.RuleParams{Categories: []ledger.Category{{TTL: 2 * time.Second, Effect: "redeliverable"}}, Slack: time.Second, MaxPushes: 5})
+		if err := ledger.Read(in, j.Add); err != nil {
 			t.Fatal(err)
 		}
 		in.Close()
-		if v := j.End(); v.Ops != 1 || c.broken == "" && !v.Kept() || c.broken != "" && v.Broken[c.broken] != 1 {
+		if v := j.Finish(); v.Ops != 1 || c.broken == "" && !v.Passed() || c.broken != "" && v.Violations[c.broken] != 1 {
 			t.Errorf("%s: %+v", c.name, v)
 		}
 	}
--- a/lab/logsum/logsum.go
+++ b/lab/logsum/logsum.go
@@ -46,8 +46,8 @@
 var passed = map[string]bool{"engine.queue_longest": true, "engine.queue_delay_ms": true, "engine.stall_ms": true,
 	"discovery.version": true}
 
-// Dir reads all files of a folder that end in .log, each one proxy's, and sums them by span.
-func Dir(dir string, span time.Duration) (*Sum, error) {
+// ReadDir reads all files of a folder that end in .log, each one proxy's, and sums them by span.
+func ReadDir(dir string, span time.Duration) (*Sum, error) {
 	if span <= 0 {
 		return nil, fmt.Errorf("span: %v is not above 0", span)
 	}
--- a/lab/logsum/logsum_test.go
+++ b/lab/logsum/logsum_test.go
@@ -30,7 +30,7 @@
 			t.Fatal(err)
 		}
 	}
-	s, err := Dir(dir, time.Second)
+	s, err := ReadDir(dir, time.Second)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -54,10 +54,10 @@
 		strings.Contains(out.String(), "servers") {
 		t.Errorf("%v\n%s", err, out.String())
 	}
-	if _, err := Dir(t.TempDir(), time.Second); err == nil {
+	if _, err := ReadDir(t.TempDir(), time.Second); err == nil {
 		t.Error("a folder without logs is no error")
 	}
-	if _, err := Dir(dir, 0); err == nil {
+	if _, err := ReadDir(dir, 0); err == nil {
 		t.Error("a span of nothing is no error")
 	}
 }
--- a/lab/measure/measure.go
+++ b/lab/measure/measure.go
@@ -28,8 +28,8 @@
 // Second is one second of a run.
 type Second struct {
 	Ops      int     `json:"ops"`
-	Asked    float64 `json:"asked"`
-	InTime   float64 `json:"in_time"`
+	BenefitRequested    float64 `json:"asked"`
+	BenefitInTime   float64 `json:"in_time"`
 	Late     int     `json:"late"`
 	Nacked   int     `json:"nacked"`
 	Failed   int     `json:"failed"`
@@ -38,8 +38,8 @@
 	P99      float64 `json:"p99_ms"`
 	Fetches  int64   `json:"fetches"`
 	Conns    int     `json:"connections"`
-	Opened   int64   `json:"opened"`
-	Waiting  int     `json:"waiting"` // at all caches
+	ConnsOpened   int64   `json:"opened"`
+	QueuedRequests  int     `json:"waiting"` // at all caches
 	CPU      float64 `json:"cpu"`     // cores of all proxies
 	MemoryMB float64 `json:"memory_mb"`
 	hist     *hdrhistogram.Histogram
@@ -131,8 +131,8 @@
 	return hdrhistogram.New(1, int64(10*time.Minute/time.Microsecond), 3)
 }
 
-// New makes one.
-func New(exp *experiment.File) *Meter {
+// NewMeter makes one.
+func NewMeter(exp *experiment.File) *Meter {
 	m := &Meter{exp: exp, all: &Part{Name: "all", hist: hist()}, late: hist()}
 	for _, c := range exp.Category {
 		m.cats = append(m.cats, &Part{Name: c.Name, hist: hist()})
@@ -152,8 +152,8 @@
 	return m.seconds[n]
 }
 
-// Fill lets a sampler write its figures of a second.
-func (m *Meter) Fill(at time.Duration, do func(*Second)) {
+// UpdateSecond lets a sampler write its figures of a second.
+func (m *Meter) UpdateSecond(at time.Duration, do func(*Second)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	do(m.second(at))
@@ -187,9 +187,9 @@
 	if o.Left {
 		return
 	}
-	s.Asked += c.Benefit
+	s.BenefitRequested += c.Benefit
 	if inTime {
-		s.InTime += c.Benefit
+		s.BenefitInTime += c.Benefit
 	} else if o.Acked {
 		s.Late++
 	}
@@ -215,23 +215,23 @@
 	}
 }
 
-// Figures is what a run measured.
-type Figures struct {
-	All        Part      `json:"all"`
+// Stats is what a run measured.
+type Stats struct {
+	Total        Part      `json:"all"`
 	Categories []Part    `json:"categories"`
 	Tenants    []Part    `json:"tenants"`
 	Seconds    []*Second `json:"seconds"`
-	Worst10    float64   `json:"worst_10s"`
-	Worst10At  int       `json:"worst_10s_at"`
+	Worst10s    float64   `json:"worst_10s"`
+	Worst10sStart  int       `json:"worst_10s_at"`
 	TriesPerOp float64   `json:"tries_per_op"`
-	Restarted  []Age     `json:"restarted,omitempty"` // by how long a process that came anew had served
+	RestartedByAge  []Age     `json:"restarted,omitempty"` // by how long a process that came anew had served
 	Peers      Age       `json:"peers"`
-	Settled    float64   `json:"settled_s"` // until such a process serves as well as its peers, but for 2%; -1: never
-	Back       float64   `json:"back_s"`    // from the end of the last fault until service is back; -1: not in this run
-	LateP50    float64   `json:"lab_late_p50_ms"`
-	LateP99    float64   `json:"lab_late_p99_ms"`
-	LateIn5    float64   `json:"lab_sent_within_5ms"`
-	Overload   int       `json:"lab_overload"`
+	SettleSeconds    float64   `json:"settled_s"` // until such a process serves as well as its peers, but for 2%; -1: never
+	RecoverySeconds       float64   `json:"back_s"`    // from the end of the last fault until service is back; -1: not in this run
+	SendDelayP50    float64   `json:"lab_late_p50_ms"`
+	SendDelayP99    float64   `json:"lab_late_p99_ms"`
+	SentWithin5ms    float64   `json:"lab_sent_within_5ms"`
+	UnsentOps   int       `json:"lab_overload"`
 }
 
 func ms(us int64) float64 { return float64(us) / 1000 }
@@ -244,12 +244,12 @@
 	return *p
 }
 
-// Done sums up.
-func (m *Meter) Done() Figures {
+// Summarize sums up.
+func (m *Meter) Summarize() Stats {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	f := Figures{All: m.all.done(), Worst10: 1, LateP50: ms(m.late.ValueAtQuantile(50)), LateP99: ms(m.late.ValueAtQuantile(99)),
-		Overload: m.overload, TriesPerOp: float64(m.tries)}
+	f := Stats{Total: m.all.done(), Worst10s: 1, SendDelayP50: ms(m.late.ValueAtQuantile(50)), SendDelayP99: ms(m.late.ValueAtQuantile(99)),
+		UnsentOps: m.overload, TriesPerOp: float64(m.tries)}
 	for _, p := range m.cats {
 		f.Categories = append(f.Categories, p.done())
 	}
@@ -262,7 +262,7 @@
 			within += b.Count
 		}
 	}
-	f.LateIn5 = float64(within) / float64(max(m.late.TotalCount(), 1))
+	f.SentWithin5ms = float64(within) / float64(max(m.late.TotalCount(), 1))
 	ops, last := 0, min(int(m.exp.Length.D()/time.Second), len(m.seconds))
 	for i, s := range m.seconds {
 		ops += s.Ops
@@ -270,22 +270,22 @@
 		if from := int(m.exp.Warm.D() / time.Second); i >= from && i+10 <= last {
 			asked, in := 0.0, 0.0
 			for _, t := range m.seconds[i : i+10] {
-				asked, in = asked+t.Asked, in+t.InTime
+				asked, in = asked+t.BenefitRequested, in+t.BenefitInTime
 			}
-			if share := in / max(asked, 1e-9); share < f.Worst10 {
-				f.Worst10, f.Worst10At = share, i
+			if share := in / max(asked, 1e-9); share < f.Worst10s {
+				f.Worst10s, f.Worst10sStart = share, i
 			}
 		}
 	}
 	f.TriesPerOp /= float64(max(ops, 1))
 	f.Peers = m.peers.done()
-	if f.Settled = settled(m.ages[:], f.Peers); slices.ContainsFunc(m.ages[:], func(a Age) bool { return a.Tries > 0 }) {
+	if f.SettleSeconds = settled(m.ages[:], f.Peers); slices.ContainsFunc(m.ages[:], func(a Age) bool { return a.Tries > 0 }) {
 		for i := range m.ages {
 			m.ages[i].From = float64(i) * ageStep.Seconds()
-			f.Restarted = append(f.Restarted, m.ages[i].done())
+			f.RestartedByAge = append(f.RestartedByAge, m.ages[i].done())
 		}
 	}
-	f.Back = back(m.exp, m.seconds[:last])
+	f.RecoverySeconds = back(m.exp, m.seconds[:last])
 	f.Seconds = m.seconds
 	return f
 }
@@ -297,7 +297,7 @@
 	share := func(of []*Second) float64 {
 		asked, in := 0.0, 0.0
 		for _, s := range of {
-			asked, in = asked+s.Asked, in+s.InTime
+			asked, in = asked+s.BenefitRequested, in+s.BenefitInTime
 		}
 		return in / max(asked, 1e-9)
 	}
@@ -318,10 +318,10 @@
 	return -1
 }
 
-// Now is the service of the second before the last whole one, for progress.
-func (m *Meter) Now(at time.Duration) (ops int, service float64) {
+// RecentService is the service of the second before the last whole one, for progress.
+func (m *Meter) RecentService(at time.Duration) (ops int, service float64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	s := m.second(max(at-time.Second, 0))
-	return s.Ops, s.InTime / max(s.Asked, 1e-9)
+	return s.Ops, s.BenefitInTime / max(s.BenefitRequested, 1e-9)
 }
--- a/lab/measure/measure_test.go
+++ b/lab/measure/measure_test.go
@@ -44,7 +44,7 @@
 		x := &experiment.File{Length: span(len(c.served)), Warm: span(1), Fault: c.faults}
 		var seconds []*Second
 		for _, n := range c.served {
-			seconds = append(seconds, &Second{Asked: 10, InTime: float64(n - '0')})
+			seconds = append(seconds, &Second{BenefitRequested: 10, BenefitInTime: float64(n - '0')})
 		}
 		if got := back(x, seconds); got != c.want {
 			t.Errorf("%s: %v, want %v", c.name, got, c.want)
--- a/lab/measure/process.go
+++ b/lab/measure/process.go
@@ -7,8 +7,8 @@
 	"strconv"
 )
 
-// Use is what a process has used so far, as the system accounts for it.
-type Use struct {
+// Usage is what a process has used so far, as the system accounts for it.
+type Usage struct {
 	CPU         float64 // seconds
 	MemoryMB    float64
 	Descriptors int
@@ -17,8 +17,8 @@
 
 const tick = 100 // of the system's accounting, a second
 
-// Process reads what a process uses; an error means that it is gone.
-func Process(pid int) (u Use, err error) {
+// ProcessUsage reads what a process uses; an error means that it is gone.
+func ProcessUsage(pid int) (u Usage, err error) {
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return u, err
--- a/lab/report/compare.go
+++ b/lab/report/compare.go
@@ -35,34 +35,34 @@
 		of   func(*Result) float64
 	}
 	figures := []figure{
-		{"service", func(r *Result) float64 { return r.Figures.All.Service }},
-		{"worst 10 s", func(r *Result) float64 { return r.Figures.Worst10 }},
+		{"service", func(r *Result) float64 { return r.Stats.Total.Service }},
+		{"worst 10 s", func(r *Result) float64 { return r.Stats.Worst10s }},
 		{"back after s", func(r *Result) float64 { // one that does not come back counts as the rest of its run
-			if r.Figures.Back < 0 {
-				return float64(r.Length)
+			if r.Stats.RecoverySeconds < 0 {
+				return float64(r.LengthSeconds)
 			}
-			return r.Figures.Back
+			return r.Stats.RecoverySeconds
 		}},
 		{"settled s", func(r *Result) float64 {
-			if r.Figures.Settled < 0 {
+			if r.Stats.SettleSeconds < 0 {
 				return 10 // longer than is looked at
 			}
-			return r.Figures.Settled
+			return r.Stats.SettleSeconds
 		}},
 		{"first second", func(r *Result) float64 { // of processes that came anew
 			asked, got := 0.0, 0.0
-			for _, a := range r.Figures.Restarted[:min(2, len(r.Figures.Restarted))] {
+			for _, a := range r.Stats.RestartedByAge[:min(2, len(r.Stats.RestartedByAge))] {
 				asked, got = asked+float64(a.Tries), got+a.Service*float64(a.Tries)
 			}
 			return got / max(asked, 1)
 		}},
-		{"refused", func(r *Result) float64 { return float64(r.ClientsRefused) }},
-		{"p50 ms", func(r *Result) float64 { return r.Figures.All.P50 }},
-		{"p99 ms", func(r *Result) float64 { return r.Figures.All.P99 }},
-		{"tries an op", func(r *Result) float64 { return r.Figures.TriesPerOp }},
-		{"fetches", func(r *Result) float64 { return float64(r.Fetches) }},
-		{"CPU s", func(r *Result) float64 { return r.Peak.CPU }},
-		{"rules broken", func(r *Result) float64 { return float64(len(r.Verdict.Broken)) }},
+		{"refused", func(r *Result) float64 { return float64(r.ClientConnsRefused) }},
+		{"p50 ms", func(r *Result) float64 { return r.Stats.Total.P50 }},
+		{"p99 ms", func(r *Result) float64 { return r.Stats.Total.P99 }},
+		{"tries an op", func(r *Result) float64 { return r.Stats.TriesPerOp }},
+		{"fetches", func(r *Result) float64 { return float64(r.OriginFetches) }},
+		{"CPU s", func(r *Result) float64 { return r.PeakUsage.CPU }},
+		{"rules broken", func(r *Result) float64 { return float64(len(r.Verdict.Violations)) }},
 	}
 	key := func(r *Result) string { return fmt.Sprintf("%s/%d", r.Name, r.Seed) }
 	byKey := map[string]*Result{}
@@ -96,8 +96,8 @@
 		fmt.Fprintf(&out, "%-14s %-30v %-30v %v%s\n", f.name, spread(as), spread(bs), d, note)
 	}
 	for _, r := range append(slices.Clone(a), b...) {
-		if len(r.Void) > 0 {
-			fmt.Fprintf(&out, "VOID: %s, seed %d, %s: %s\n", r.Name, r.Seed, r.Rule, r.Void[0])
+		if len(r.InvalidReasons) > 0 {
+			fmt.Fprintf(&out, "VOID: %s, seed %d, %s: %s\n", r.Name, r.Seed, r.Rule, r.InvalidReasons[0])
 		}
 	}
 	return out.String()
@@ -128,11 +128,11 @@
 			var service []float64
 			broken, void := map[string]int{}, 0
 			for _, r := range cells[n+"\x00"+rule] {
-				service = append(service, r.Figures.All.Service)
-				if len(r.Void) > 0 {
+				service = append(service, r.Stats.Total.Service)
+				if len(r.InvalidReasons) > 0 {
 					void++
 				}
-				for k, v := range r.Verdict.Broken {
+				for k, v := range r.Verdict.Violations {
 					broken[k] += v
 				}
 			}
--- a/lab/report/plots.go
+++ b/lab/report/plots.go
@@ -26,7 +26,7 @@
 	lines             []line
 }{
 	{"service", "benefit answered in time, of that asked for", "share", []line{
-		{"in time", func(s *measure.Second) float64 { return s.InTime / max(s.Asked, 1e-9) }}}},
+		{"in time", func(s *measure.Second) float64 { return s.BenefitInTime / max(s.BenefitRequested, 1e-9) }}}},
 	{"latency", "answers by when their op was due", "ms", []line{
 		{"half", func(s *measure.Second) float64 { return s.P50 }},
 		{"99%", func(s *measure.Second) float64 { return s.P99 }}}},
@@ -38,7 +38,7 @@
 		{"fetches", func(s *measure.Second) float64 { return float64(s.Fetches) }}}},
 	{"servers", "connections to caches, and what waits there", "count", []line{
 		{"connections", func(s *measure.Second) float64 { return float64(s.Conns) }},
-		{"waiting", func(s *measure.Second) float64 { return float64(s.Waiting) }}}},
+		{"waiting", func(s *measure.Second) float64 { return float64(s.QueuedRequests) }}}},
 	{"proxies", "the proxies' cores", "cores", []line{
 		{"cores", func(s *measure.Second) float64 { return s.CPU }}}},
 }
@@ -48,7 +48,7 @@
 // plots draws all charts as SVG, with the faults marked.
 func (r *Result) plots() (map[string][]byte, error) {
 	out := map[string][]byte{}
-	seconds := r.Figures.Seconds[:min(len(r.Figures.Seconds), int(r.Length))]
+	seconds := r.Stats.Seconds[:min(len(r.Stats.Seconds), int(r.LengthSeconds))]
 	for _, c := range charts {
 		p := plot.New()
 		p.Title.Text, p.X.Label.Text, p.Y.Label.Text = c.title, "s", c.unit
--- a/lab/report/report.go
+++ b/lab/report/report.go
@@ -20,31 +20,31 @@
 	About   string          `json:"about,omitempty"`
 	Seed    uint64          `json:"seed"`
 	Rule    string          `json:"rule"` // what decided: minttray, or a baseline
-	Length  float64         `json:"length_s"`
-	Warm    float64         `json:"warm_s"`
-	Void    []string        `json:"void,omitempty"` // why it proves nothing
+	LengthSeconds  float64         `json:"length_s"`
+	WarmUpSeconds    float64         `json:"warm_s"`
+	InvalidReasons    []string        `json:"void,omitempty"` // why it proves nothing
 	Crashes []string        `json:"crashes,omitempty"`
 	Verdict *ledger.Verdict `json:"verdict"`
-	Figures measure.Figures `json:"figures"`
+	Stats measure.Stats `json:"figures"`
 	Events  []faults.Event  `json:"events"`
-	Peak    measure.Use     `json:"peak"`              // CPU: seconds of all proxies together
-	Stalled float64         `json:"stand_ins_stalled"` // share of their work that ended over 5 ms late
-	Records int64           `json:"records"`
-	Opened  int64           `json:"connections_opened"`  // by clients
-	Refused int64           `json:"connections_refused"` // by caches
+	PeakUsage    measure.Usage     `json:"peak"`              // CPU: seconds of all proxies together
+	StandInLateShare float64         `json:"stand_ins_stalled"` // share of their work that ended over 5 ms late
+	LedgerRecords int64           `json:"records"`
+	ClientConnsOpened  int64           `json:"connections_opened"`  // by clients
+	CacheConnsRefused int64           `json:"connections_refused"` // by caches
 
-	Vars           map[string]int64 `json:"vars,omitempty"`  // what the proxies that run at the end count of themselves, summed
-	ClientsRefused int64            `json:"clients_refused"` // connections of clients, by proxies
-	Fetches        int64            `json:"origin_fetches"`
+	ProxyCounters           map[string]int64 `json:"vars,omitempty"`  // what the proxies that run at the end count of themselves, summed
+	ClientConnsRefused int64            `json:"clients_refused"` // connections of clients, by proxies
+	OriginFetches        int64            `json:"origin_fetches"`
 	ListBytes      int64            `json:"list_bytes"` // of lists, written to all proxies
 }
 
-// Status is the exit status that a run earns.
-func (r *Result) Status() int {
+// ExitStatus is the exit status that a run earns.
+func (r *Result) ExitStatus() int {
 	switch {
-	case r.Verdict != nil && !r.Verdict.Kept() || len(r.Crashes) > 0:
+	case r.Verdict != nil && !r.Verdict.Passed() || len(r.Crashes) > 0:
 		return 1
-	case len(r.Void) > 0:
+	case len(r.InvalidReasons) > 0:
 		return 3
 	}
 	return 0
@@ -93,36 +93,36 @@
 // Summary is what the terminal shows.
 func (r *Result) Summary() string {
 	var b strings.Builder
-	f := r.Figures
+	f := r.Stats
 	fmt.Fprintf(&b, "%s, seed %d, %s\n", r.Name, r.Seed, r.Rule)
-	for _, v := range r.Void {
+	for _, v := range r.InvalidReasons {
 		fmt.Fprintf(&b, "VOID: %s\n", v)
 	}
 	for _, c := range r.Crashes {
 		fmt.Fprintf(&b, "CRASH: %s\n", c)
 	}
-	fmt.Fprintf(&b, "service %.4f   worst 10 s %.4f (from %d s)   tries an op %.2f   origin fetches %d\n", f.All.Service, f.Worst10, f.Worst10At,
-		f.TriesPerOp, r.Fetches)
-	if f.Back < 0 {
+	fmt.Fprintf(&b, "service %.4f   worst 10 s %.4f (from %d s)   tries an op %.2f   origin fetches %d\n", f.Total.Service, f.Worst10s, f.Worst10sStart,
+		f.TriesPerOp, r.OriginFetches)
+	if f.RecoverySeconds < 0 {
 		b.WriteString("service is not back within 2% of before by the end of the run\n")
 	} else {
-		fmt.Fprintf(&b, "service is back within 2%% of before %.0f s after the last fault\n", f.Back)
+		fmt.Fprintf(&b, "service is back within 2%% of before %.0f s after the last fault\n", f.RecoverySeconds)
 	}
-	if n := len(f.Restarted); n > 0 {
+	if n := len(f.RestartedByAge); n > 0 {
 		fmt.Fprintf(&b, "processes that came anew: service")
-		for _, a := range f.Restarted[:min(n, 8)] {
+		for _, a := range f.RestartedByAge[:min(n, 8)] {
 			fmt.Fprintf(&b, " %.3f", a.Service)
 		}
-		fmt.Fprintf(&b, " by half second; peers %.3f; settled after %.1f s\n", f.Peers.Service, f.Settled)
+		fmt.Fprintf(&b, " by half second; peers %.3f; settled after %.1f s\n", f.Peers.Service, f.SettleSeconds)
 	}
 	fmt.Fprintf(&b, "%-20s %8s %9s %9s %9s %9s %9s\n", "", "ops", "service", "p50 ms", "p90", "p99", "max")
-	for _, p := range append(append([]measure.Part{f.All}, f.Categories...), f.Tenants...) {
+	for _, p := range append(append([]measure.Part{f.Total}, f.Categories...), f.Tenants...) {
 		fmt.Fprintf(&b, "%-20s %8d %9.4f %9.1f %9.1f %9.1f %9.1f\n", p.Name, p.Ops, p.Service, p.P50, p.P90, p.P99, p.Max)
 	}
 	fmt.Fprintf(&b, "proxies: %.2f CPU seconds, %.0f MB and %d descriptors at most in one; client connections opened %d, refused %d; refused by caches %d; %d KB of lists\n",
-		r.Peak.CPU, r.Peak.MemoryMB, r.Peak.Descriptors, r.Opened, r.ClientsRefused, r.Refused, r.ListBytes>>10)
+		r.PeakUsage.CPU, r.PeakUsage.MemoryMB, r.PeakUsage.Descriptors, r.ClientConnsOpened, r.ClientConnsRefused, r.CacheConnsRefused, r.ListBytes>>10)
 	fmt.Fprintf(&b, "lab: %.2f%% sent within 5 ms of their time, half within %.2f ms, 99%% within %.2f ms; %.2f%% of the stand-ins' work over 5 ms late\n",
-		100*f.LateIn5, f.LateP50, f.LateP99, 100*r.Stalled)
+		100*f.SentWithin5ms, f.SendDelayP50, f.SendDelayP99, 100*r.StandInLateShare)
 	if v := r.Verdict; v != nil {
 		b.WriteString(rules(v))
 	}
@@ -140,26 +140,26 @@
 	for _, n := range names {
 		fmt.Fprintf(&b, " %s %d,", n, v.Answers[n])
 	}
-	fmt.Fprintf(&b, " clients gone first %d, held by a proxy that was ended %d, of which %d were pushed\n", v.Left, v.Killed, v.Taken)
-	if v.Kept() {
-		fmt.Fprintf(&b, "rules kept (cold caches at %.0f%% of their bound at most, a refusal at most %v after its last push)\n", 100*v.ColdMost,
-			v.HeldMost.Round(1e6))
+	fmt.Fprintf(&b, " clients gone first %d, held by a proxy that was ended %d, of which %d were pushed\n", v.ClientsLeft, v.KilledOps, v.KilledAfterPush)
+	if v.Passed() {
+		fmt.Fprintf(&b, "rules kept (cold caches at %.0f%% of their bound at most, a refusal at most %v after its last push)\n", 100*v.MaxColdLoad,
+			v.MaxRefusalDelay.Round(1e6))
 		return b.String()
 	}
-	broken := make([]string, 0, len(v.Broken))
-	for n := range v.Broken {
+	broken := make([]string, 0, len(v.Violations))
+	for n := range v.Violations {
 		broken = append(broken, n)
 	}
 	sort.Strings(broken)
 	for _, n := range broken {
-		fmt.Fprintf(&b, "RULE BROKEN: %s, %d times\n", n, v.Broken[n])
+		fmt.Fprintf(&b, "RULE BROKEN: %s, %d times\n", n, v.Violations[n])
 	}
 	shown := map[string]int{}
 	for _, f := range v.Findings {
 		if shown[f.Rule]++; shown[f.Rule] > 2 {
 			continue
 		}
-		fmt.Fprintf(&b, "  %s %s: %s\n", f.Rule, f.Op, f.What)
+		fmt.Fprintf(&b, "  %s %s: %s\n", f.Rule, f.Op, f.Message)
 		for _, h := range f.History {
 			fmt.Fprintf(&b, "      %s\n", h)
 		}
--- a/lab/report/report_test.go
+++ b/lab/report/report_test.go
@@ -19,22 +19,22 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	m := measure.New(x)
+	m := measure.NewMeter(x)
 	for i := range 1200 {
 		m.Late(time.Millisecond)
 		m.Take(measure.Outcome{Due: time.Duration(i) * 10 * time.Millisecond, Span: 20 * time.Millisecond, Tries: 1,
 			Acked: float64(i%100) < 100*share, Failed: float64(i%100) >= 100*share})
 	}
-	return &Result{Name: "x", Seed: seed, Rule: rule, Length: 12, Warm: 1, Figures: m.Done(), Events: []faults.Event{{At: 5, What: "<kill>"}},
-		Verdict: &ledger.Verdict{Ops: 1200, Answers: map[string]int{"acked": 1}, Broken: map[string]int{}}}
+	return &Result{Name: "x", Seed: seed, Rule: rule, LengthSeconds: 12, WarmUpSeconds: 1, Stats: m.Summarize(), Events: []faults.Event{{At: 5, What: "<kill>"}},
+		Verdict: &ledger.Verdict{Ops: 1200, Answers: map[string]int{"acked": 1}, Violations: map[string]int{}}}
 }
 
 func TestARunIsWrittenAndReadBack(t *testing.T) {
 	dir := t.TempDir()
 	r := result(t, "minttray", 1, 0.9)
-	if s := r.Figures.All.Service; s < 0.899 || s > 0.901 || r.Figures.All.Ops != 1100 || r.Figures.All.P50 < 19 || r.Figures.All.P50 > 21 ||
-		r.Figures.LateIn5 != 1 || r.Figures.Worst10 < 0.89 || r.Figures.Worst10 > 0.91 {
-		t.Errorf("%+v", r.Figures.All)
+	if s := r.Stats.Total.Service; s < 0.899 || s > 0.901 || r.Stats.Total.Ops != 1100 || r.Stats.Total.P50 < 19 || r.Stats.Total.P50 > 21 ||
+		r.Stats.SentWithin5ms != 1 || r.Stats.Worst10s < 0.89 || r.Stats.Worst10s > 0.91 {
+		t.Errorf("%+v", r.Stats.Total)
 	}
 	if err := r.Write(dir); err != nil {
 		t.Fatal(err)
@@ -55,14 +55,14 @@
 		want   int
 	}{
 		{func(*Result) {}, 0},
-		{func(r *Result) { r.Void = []string{"late"} }, 3},
-		{func(r *Result) { r.Verdict.Broken["lost"] = 1 }, 1},
+		{func(r *Result) { r.InvalidReasons = []string{"late"} }, 3},
+		{func(r *Result) { r.Verdict.Violations["lost"] = 1 }, 1},
 		{func(r *Result) { r.Crashes = []string{"proxy 1"} }, 1},
-		{func(r *Result) { r.Void, r.Verdict.Broken["lost"] = []string{"late"}, 1 }, 1},
+		{func(r *Result) { r.InvalidReasons, r.Verdict.Violations["lost"] = []string{"late"}, 1 }, 1},
 	} {
 		r := result(t, "minttray", 1, 1)
-		if c.change(r); r.Status() != c.want {
-			t.Errorf("%d, want %d", r.Status(), c.want)
+		if c.change(r); r.ExitStatus() != c.want {
+			t.Errorf("%d, want %d", r.ExitStatus(), c.want)
 		}
 	}
 }
--- a/lab/run/fleet.go
+++ b/lab/run/fleet.go
@@ -47,7 +47,7 @@
 	lives  uint32
 	handed map[int]uint32 // by proxy: the life that was told that a site is out; of the one fault that does
 	failed []string       // proxies that ended by themselves
-	used   []measure.Use
+	used   []measure.Usage
 }
 
 type process struct {
@@ -65,7 +65,7 @@
 // newFleet starts all proxies and waits until they serve.
 func newFleet(x *experiment.File, w *world.World, dir string, command, env []string) (*fleet, error) {
 	f := &fleet{x: x, w: w, dir: dir, command: command, env: env, procs: make([]*process, x.Proxies.Count), handed: map[int]uint32{},
-		used: make([]measure.Use, x.Proxies.Count), done: make(chan struct{})}
+		used: make([]measure.Usage, x.Proxies.Count), done: make(chan struct{})}
 	for n := range x.Proxies.Count {
 		a, err := w.Reg.Agent(n)
 		if err != nil {
@@ -76,7 +76,7 @@
 			return f, err
 		}
 		f.agents = append(f.agents, a)
-		f.proxies = append(f.proxies, &load.Proxy{Addr: addr, Zone: x.ZoneOf(n), End: w.Proxy(n)})
+		f.proxies = append(f.proxies, &load.Proxy{Addr: addr, Zone: x.ZoneOf(n), Endpoint: w.Proxy(n)})
 	}
 	errs := make([]error, x.Proxies.Count)
 	var wait sync.WaitGroup
@@ -134,7 +134,7 @@
 		default:
 		}
 		if pong(f.proxies[n].Addr) {
-			f.proxies[n].Up()
+			f.proxies[n].MarkUp()
 			return nil
 		}
 	}
@@ -162,7 +162,7 @@
 			return fmt.Errorf("proxy %d, upgraded: %w: %s", n, err, tail(p.log))
 		}
 	}
-	f.proxies[n].Up()
+	f.proxies[n].MarkUp()
 	f.mu.Lock()
 	old.meant, old.replaced = true, true
 	f.mu.Unlock()
@@ -181,7 +181,7 @@
 	f.mu.Lock()
 	p := f.procs[n]
 	f.mu.Unlock()
-	path, put := "/_cache-nodes/attach", ledger.Record{Kind: ledger.Hand, At: f.w.Now(), A: p.life, B: number}
+	path, put := "/_cache-nodes/attach", ledger.Record{Kind: ledger.OperatorOverride, At: f.w.Now(), A: p.life, B: number}
 	if out {
 		path, put.C = "/_cache-nodes/detach", 1
 	}
@@ -191,7 +191,7 @@
 	if out {
 		put.At = f.w.Now()
 	}
-	f.w.Book.Put(put)
+	f.w.Book.Append(put)
 	return nil
 }
 
@@ -223,7 +223,7 @@
 	}
 	book := func() {
 		for _, c := range caches {
-			f.w.Book.Put(ledger.Record{Kind: ledger.Hand, At: at, A: p.life, B: c, C: state})
+			f.w.Book.Append(ledger.Record{Kind: ledger.OperatorOverride, At: at, A: p.life, B: c, C: state})
 		}
 	}
 	if !out {
@@ -267,13 +267,13 @@
 	if still {
 		how, state = syscall.SIGSTOP, 1
 	}
-	put := ledger.Record{Kind: ledger.Stalled, At: f.w.Now(), C: state}
+	put := ledger.Record{Kind: ledger.ProxyStalled, At: f.w.Now(), C: state}
 	if p := f.signal(n, how); p != nil {
 		put.A = p.life
 		if !still {
 			put.At = f.w.Now()
 		}
-		f.w.Book.Put(put)
+		f.w.Book.Append(put)
 	}
 }
 
@@ -312,7 +312,7 @@
 }
 
 // Idle counts clients' connections to a proxy with nothing out.
-func (f *fleet) Idle(n int) int { return f.proxies[n].Idle() }
+func (f *fleet) Idle(n int) int { return f.proxies[n].IdleConns() }
 
 // ask is the front's question, ten times a second, where operators send clients away.
 func (f *fleet) ask() {
@@ -325,7 +325,7 @@
 					runs := f.procs[n] != nil
 					f.mu.Unlock()
 					if runs {
-						p.Asked(pong(p.Addr))
+						p.RecordPing(pong(p.Addr))
 					}
 				case <-f.done:
 					clock.Stop()
@@ -429,7 +429,7 @@
 	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // it must not outlive the lab
 	// A connection made from now on can only be to this life: it may accept before the lab has noticed.
 	f.agents[n].Life(p.life)
-	f.proxies[n].Life.Store(p.life)
+	f.proxies[n].Incarnation.Store(p.life)
 	if err := p.cmd.Start(); err != nil {
 		return nil, fmt.Errorf("proxy %d: %w", n, err)
 	}
@@ -466,15 +466,15 @@
 		close(p.ended)
 		return
 	}
-	by := uint32(ledger.Crashed)
+	by := uint32(ledger.ExitCrashed)
 	switch {
 	case meant && warned:
-		by = ledger.Terminated
+		by = ledger.ExitTerminated
 	case meant:
-		by = ledger.Killed
+		by = ledger.ExitKilled
 	}
-	f.proxies[n].Down()
-	f.w.Book.Put(ledger.Record{Kind: ledger.Gone, At: f.w.Now(), A: p.life, C: by})
+	f.proxies[n].MarkDown()
+	f.w.Book.Append(ledger.Record{Kind: ledger.ProxyExited, At: f.w.Now(), A: p.life, C: by})
 	close(p.ended)
 }
 
@@ -506,7 +506,7 @@
 		f.mu.Unlock()
 	}
 	if s == syscall.SIGTERM {
-		f.proxies[n].Ending()
+		f.proxies[n].MarkTerminating()
 	}
 	p.cmd.Process.Signal(s)
 	return p
@@ -623,13 +623,13 @@
 }
 
 // use samples what the processes use; the sums of CPU count lives that have ended too.
-func (f *fleet) use() (all []measure.Use) {
+func (f *fleet) use() (all []measure.Usage) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, p := range f.procs {
-		u := measure.Use{}
+		u := measure.Usage{}
 		if p != nil && p.cmd.Process != nil {
-			u, _ = measure.Process(p.cmd.Process.Pid)
+			u, _ = measure.ProcessUsage(p.cmd.Process.Pid)
 		}
 		all = append(all, u)
 	}
--- a/lab/run/forecast.go
+++ b/lab/run/forecast.go
@@ -75,9 +75,9 @@
 				continue
 			}
 			asked, inTime, fetches, seconds := 0.0, 0.0, 0.0, 0.0
-			for s := int(window[0] / time.Second); s < int(window[1]/time.Second) && s < len(r.Figures.Seconds); s++ {
-				at := r.Figures.Seconds[s]
-				asked, inTime, fetches, seconds = asked+at.Asked, inTime+at.InTime, fetches+float64(at.Fetches), seconds+1
+			for s := int(window[0] / time.Second); s < int(window[1]/time.Second) && s < len(r.Stats.Seconds); s++ {
+				at := r.Stats.Seconds[s]
+				asked, inTime, fetches, seconds = asked+at.BenefitRequested, inTime+at.BenefitInTime, fetches+float64(at.Fetches), seconds+1
 			}
 			// A cut concerns the clients of its site alone; the others go on as in the loss of that site.
 			p := all[i].Phases[n]
--- a/lab/run/run.go
+++ b/lab/run/run.go
@@ -57,17 +57,17 @@
 		return nil, err
 	}
 	time.Sleep(settleTime)
-	meter := measure.New(x)
-	front := load.NewFront(x, f.proxies)
-	front.Ways = w.Ways
-	l := load.Start(x, front, book, meter, w.Start())
+	meter := measure.NewMeter(x)
+	front := load.NewBalancer(x, f.proxies)
+	front.Links = w.Ways
+	l := load.NewGenerator(x, front, book, meter, w.Start())
 	from := w.Now()
 	player := faults.New(w, f, from, o.Stop)
 	played := make(chan struct{})
 	go func() { player.Run(); close(played) }()
 	sampled := make(chan struct{})
 	ended := make(chan struct{})
-	var peak measure.Use
+	var peak measure.Usage
 	go func() {
 		peak = sample(x, w, f, front, meter, from, ended, o.Say)
 		close(sampled)
@@ -92,36 +92,36 @@
 	vars := f.vars()
 	f.stop()
 	if !cut {
-		book.Put(ledger.Record{Kind: ledger.Finished, At: w.Now()})
+		book.Append(ledger.Record{Kind: ledger.RunFinished, At: w.Now()})
 	}
 	w.Close()
 	records, err := book.Close()
-	r := &report.Result{Name: x.Name, About: x.About, Seed: x.Seed, Rule: o.Rule, Figures: meter.Done(), Records: records, Peak: peak,
-		Length: x.Length.D().Seconds(), Warm: x.Warm.D().Seconds(), Opened: front.Opened.Load(), Vars: vars, ClientsRefused: front.Refused.Load(), Fetches: w.Origin.Fetches.Load(), ListBytes: w.Reg.Bytes.Load()}
+	r := &report.Result{Name: x.Name, About: x.About, Seed: x.Seed, Rule: o.Rule, Stats: meter.Summarize(), LedgerRecords: records, PeakUsage: peak,
+		LengthSeconds: x.Length.D().Seconds(), WarmUpSeconds: x.Warm.D().Seconds(), ClientConnsOpened: front.ConnsOpened.Load(), ProxyCounters: vars, ClientConnsRefused: front.ConnsRefused.Load(), OriginFetches: w.Origin.Fetches.Load(), ListBytes: w.Reg.Bytes.Load()}
 	if err != nil {
-		r.Void = append(r.Void, "the ledger's disk: "+err.Error())
+		r.InvalidReasons = append(r.InvalidReasons, "the ledger's disk: "+err.Error())
 	}
 	if cut {
-		r.Void = append(r.Void, "interrupted")
+		r.InvalidReasons = append(r.InvalidReasons, "interrupted")
 	}
 	for _, c := range w.Caches() {
-		r.Refused += c.Refused.Load()
+		r.CacheConnsRefused += c.Refused.Load()
 	}
 	events, errs := player.Events()
 	r.Events = events
 	for _, e := range errs {
-		r.Void = append(r.Void, "a fault could not be played: "+e.Error())
+		r.InvalidReasons = append(r.InvalidReasons, "a fault could not be played: "+e.Error())
 	}
 	r.Crashes = f.faults()
-	if r.Figures.LateIn5 < lateShare {
-		r.Void = append(r.Void, fmt.Sprintf("the lab ran late: %.1f%% of the ops were sent within %v of their time, %.0f%% are wanted",
-			100*r.Figures.LateIn5, lateBound, 100*lateShare))
+	if r.Stats.SentWithin5ms < lateShare {
+		r.InvalidReasons = append(r.InvalidReasons, fmt.Sprintf("the lab ran late: %.1f%% of the ops were sent within %v of their time, %.0f%% are wanted",
+			100*r.Stats.SentWithin5ms, lateBound, 100*lateShare))
 	}
-	if r.Stalled = w.Stalled(); r.Stalled > 1-lateShare {
-		r.Void = append(r.Void, fmt.Sprintf("stand-ins stalled: %.1f%% of their work ended over %v late", 100*r.Stalled, lateBound))
+	if r.StandInLateShare = w.Stalled(); r.StandInLateShare > 1-lateShare {
+		r.InvalidReasons = append(r.InvalidReasons, fmt.Sprintf("stand-ins stalled: %.1f%% of their work ended over %v late", 100*r.StandInLateShare, lateBound))
 	}
-	if r.Figures.Overload > 0 {
-		r.Void = append(r.Void, fmt.Sprintf("%d ops could not be sent: too many were out", r.Figures.Overload))
+	if r.Stats.UnsentOps > 0 {
+		r.InvalidReasons = append(r.InvalidReasons, fmt.Sprintf("%d ops could not be sent: too many were out", r.Stats.UnsentOps))
 	}
 	if r.Verdict, err = Judge(path, x, w.Zones()); err != nil {
 		return r, err
@@ -136,22 +136,22 @@
 		return nil, err
 	}
 	defer in.Close()
-	t := ledger.Terms{ServerZone: zones, Grace: x.Rules.Grace.D(), FallMultiple: x.Rules.FallMultiple, TipAfter: x.Rules.TipAfter.D(),
-		ColdFrom: x.Caches.ColdFrom, WarmUp: x.Caches.WarmUp.D(), MostPushes: x.Rules.MostPushes, TwoAtOnce: x.Rules.TwoAtOnce,
+	t := ledger.RuleParams{ServerZone: zones, DrainGrace: x.Rules.Grace.D(), OverloadFactor: x.Rules.FallMultiple, OverloadWindow: x.Rules.TipAfter.D(),
+		ColdCapacityShare: x.Caches.ColdFrom, WarmUp: x.Caches.WarmUp.D(), MaxPushes: x.Rules.MostPushes, AllowConcurrentPushes: x.Rules.TwoAtOnce,
 		Slack: x.Rules.Slack.D()}
 	for _, c := range x.Category {
 		held := x.Rules.Held.D()
 		if held == 0 {
 			held = c.TTL.D() / 2
 		}
-		t.Categories = append(t.Categories, ledger.Category{TTL: c.TTL.D(), Window: c.Window.D(), Effect: c.Effect, Zone: c.Group == "zone",
-			Held: held})
+		t.Categories = append(t.Categories, ledger.Category{TTL: c.TTL.D(), DedupWindow: c.Window.D(), Effect: c.Effect, ZoneScopedDedup: c.Group == "zone",
+			MaxRefusalDelay: held})
 	}
 	j := ledger.NewJudge(t)
-	if err := ledger.Read(in, j.Take); err != nil {
+	if err := ledger.Read(in, j.Add); err != nil {
 		return nil, err
 	}
-	return j.End(), nil
+	return j.Finish(), nil
 }
 
 // fill lets every cache hold the most asked keys, as many as it has room for. Which of them a proxy would ask for a
@@ -173,11 +173,11 @@
 }
 
 // sample takes figures each second.
-func sample(x *experiment.File, w *world.World, f *fleet, front *load.Front, m *measure.Meter, from time.Duration,
-	ended <-chan struct{}, say func(string, ...any)) (peak measure.Use) {
+func sample(x *experiment.File, w *world.World, f *fleet, front *load.Balancer, m *measure.Meter, from time.Duration,
+	ended <-chan struct{}, say func(string, ...any)) (peak measure.Usage) {
 	clock := time.NewTicker(time.Second)
 	defer clock.Stop()
-	fetches, opened, last := w.Origin.Fetches.Load(), front.Opened.Load(), f.use()
+	fetches, opened, last := w.Origin.Fetches.Load(), front.ConnsOpened.Load(), f.use()
 	for {
 		select {
 		case <-ended:
@@ -201,12 +201,12 @@
 			conns += c.Connections()
 			waiting += c.Waiting()
 		}
-		nf, no := w.Origin.Fetches.Load(), front.Opened.Load()
-		m.Fill(at, func(s *measure.Second) {
-			s.Fetches, s.Opened, s.Conns, s.Waiting, s.CPU, s.MemoryMB = nf-fetches, no-opened, conns, waiting, cpu, memory
+		nf, no := w.Origin.Fetches.Load(), front.ConnsOpened.Load()
+		m.UpdateSecond(at, func(s *measure.Second) {
+			s.Fetches, s.ConnsOpened, s.Conns, s.QueuedRequests, s.CPU, s.MemoryMB = nf-fetches, no-opened, conns, waiting, cpu, memory
 		})
 		if say != nil {
-			ops, service := m.Now(at)
+			ops, service := m.RecentService(at)
 			say("%3.0f s  %5d ops  %5.1f%% in time  %4d fetches  %4d connections  %.2f cores", at.Seconds()+0.5, ops, 100*service,
 				nf-fetches, conns, cpu)
 		}
--- a/lab/run/run_test.go
+++ b/lab/run/run_test.go
@@ -41,13 +41,13 @@
 		if r, err = Play(x, o); err != nil {
 			t.Fatal(err)
 		}
-		for _, why := range r.Void {
+		for _, why := range r.InvalidReasons {
 			if strings.HasPrefix(why, "a fault could not be played") {
 				t.Fatal(why)
 			}
 			late = late || strings.HasPrefix(why, "the lab ran late") || strings.HasPrefix(why, "stand-ins stalled")
 		}
-		t.Logf("%s: %.1f%% sent in time, %.1f%% of the stand-ins' work late", x.Name, 100*r.Figures.LateIn5, 100*r.Stalled)
+		t.Logf("%s: %.1f%% sent in time, %.1f%% of the stand-ins' work late", x.Name, 100*r.Stats.SentWithin5ms, 100*r.StandInLateShare)
 		return late
 	}
 	late := func() bool {
@@ -79,10 +79,10 @@
 	}
 	r, dir := played(t, x, Options{Command: []string{build(t, "minttray")}, Rule: "minttray"})
 	v := r.Verdict
-	if !v.Kept() || !v.Whole || len(r.Crashes) > 0 || v.Answers["acked"] < 100 || v.Pushes < v.Answers["acked"] {
+	if !v.Passed() || !v.Complete || len(r.Crashes) > 0 || v.Answers["acked"] < 100 || v.Pushes < v.Answers["acked"] {
 		t.Errorf("%s", r.Summary())
 	}
-	if sum := v.Answers["acked"] + v.Answers["nacked"] + v.Answers["dead-lettered"] + v.Answers["crossed"] + v.Left + v.Killed; sum != v.Ops {
+	if sum := v.Answers["acked"] + v.Answers["nacked"] + v.Answers["dead-lettered"] + v.Answers["crossed"] + v.ClientsLeft + v.KilledOps; sum != v.Ops {
 		t.Errorf("%d tries, %d ends: %+v", v.Ops, sum, v)
 	}
 	for _, name := range []string{"result.json", "summary.txt", "report.html", "service.svg", "ledger.bin"} {
@@ -94,7 +94,7 @@
 	in, _ := os.Open(filepath.Join(dir, "ledger.bin"))
 	defer in.Close()
 	ledger.Read(in, func(r ledger.Record) {
-		if r.Kind == ledger.Told {
+		if r.Kind == ledger.StateAnnounced {
 			told++
 		}
 	})
@@ -115,7 +115,7 @@
 		}
 		r, _ := played(t, x, Options{Command: []string{daemon}, Rule: "minttray"})
 		v := r.Verdict
-		if !v.Kept() || !v.Whole || len(r.Crashes) > 0 || v.Answers["acked"] < 100 {
+		if !v.Passed() || !v.Complete || len(r.Crashes) > 0 || v.Answers["acked"] < 100 {
 			t.Errorf("%s: %s", name, r.Summary())
 		}
 	}
@@ -131,7 +131,7 @@
 	}
 	r, dir := played(t, x, Options{Command: []string{build(t, "minttray")}, Rule: "minttray"})
 	v := r.Verdict
-	if !v.Kept() || !v.Whole || len(r.Crashes) > 0 || v.Answers["acked"] < 500 {
+	if !v.Passed() || !v.Complete || len(r.Crashes) > 0 || v.Answers["acked"] < 500 {
 		t.Errorf("%s", r.Summary())
 	}
 	in, err := os.Open(filepath.Join(dir, "ledger.bin"))
@@ -141,15 +141,15 @@
 	defer in.Close()
 	stalls := 0
 	ledger.Read(in, func(r ledger.Record) {
-		if r.Kind == ledger.Stalled && r.C == 1 {
+		if r.Kind == ledger.ProxyStalled && r.C == 1 {
 			stalls++
 		}
 	})
 	if stalls != 2 {
 		t.Errorf("%d proxies were stopped for a while", stalls)
 	}
-	if v.Deadlines != v.Pushes || v.Pushes < v.Ops+200 || r.Fetches < 200 {
-		t.Errorf("%d deadlines of %d attempts for %d tries were judged, %d fetches: too few to show anything", v.Deadlines, v.Pushes, v.Ops, r.Fetches)
+	if v.DeadlinesChecked != v.Pushes || v.Pushes < v.Ops+200 || r.OriginFetches < 200 {
+		t.Errorf("%d deadlines of %d attempts for %d tries were judged, %d fetches: too few to show anything", v.DeadlinesChecked, v.Pushes, v.Ops, r.OriginFetches)
 	}
 }
 
@@ -166,12 +166,12 @@
 		}
 		r, dir := played(t, x, Options{Command: []string{daemon}, Rule: "minttray"})
 		v := r.Verdict
-		if !v.Kept() || !v.Whole || len(r.Crashes) > 0 || v.Answers["acked"] < 100 || v.Killed > 0 {
+		if !v.Passed() || !v.Complete || len(r.Crashes) > 0 || v.Answers["acked"] < 100 || v.KilledOps > 0 {
 			t.Errorf("%s: %s", name, r.Summary())
 		}
 		// The proxies' own figures against the ledger, where none was replaced: what clients that had gone were owed may count.
-		if n := r.Vars; name == "lameduck-short" {
-			gone := int64(v.Left + v.Answers["crossed"])
+		if n := r.ProxyCounters; name == "lameduck-short" {
+			gone := int64(v.ClientsLeft + v.Answers["crossed"])
 			for figure, answers := range map[string]int{"svc_served": v.Answers["acked"], "svc_refused": v.Answers["nacked"], "svc_failed": v.Answers["dead-lettered"]} {
 				if n[figure] < int64(answers) || n[figure] > int64(answers)+gone {
 					t.Errorf("%s is %d, and clients got %d", figure, n[figure], answers)
@@ -185,7 +185,7 @@
 		in, _ := os.Open(filepath.Join(dir, "ledger.bin"))
 		defer in.Close()
 		ledger.Read(in, func(r ledger.Record) {
-			if r.Kind == ledger.Hand {
+			if r.Kind == ledger.OperatorOverride {
 				hands++
 			}
 		})
@@ -208,11 +208,11 @@
 		x.Fault[0].By = by
 		r, _ := played(t, x, Options{Command: []string{daemon}, Rule: "minttray"})
 		v := r.Verdict
-		if !v.Kept() || !v.Whole || len(r.Crashes) > 0 || v.Answers["acked"] < 100 || len(r.Figures.Restarted) == 0 {
+		if !v.Passed() || !v.Complete || len(r.Crashes) > 0 || v.Answers["acked"] < 100 || len(r.Stats.RestartedByAge) == 0 {
 			t.Errorf("%s: %s", by, r.Summary())
 		}
-		if by == "upgrade" && (v.Killed > 0 || r.ClientsRefused > 0) {
-			t.Errorf("%d held by a process that ended, %d connections refused", v.Killed, r.ClientsRefused)
+		if by == "upgrade" && (v.KilledOps > 0 || r.ClientConnsRefused > 0) {
+			t.Errorf("%d held by a process that ended, %d connections refused", v.KilledOps, r.ClientConnsRefused)
 		}
 	}
 }
@@ -244,7 +244,7 @@
 		}
 	}
 	r, err := Play(x, Options{Say: say, Dir: t.TempDir(), Command: []string{build(t, "mintbase")}, Env: []string{"MINTBASE_RULE=rendezvous"}, Stop: stop})
-	if err != nil || r.Status() != 3 || r.Verdict.Whole || !r.Verdict.Kept() || r.Verdict.Ops == 0 {
+	if err != nil || r.ExitStatus() != 3 || r.Verdict.Complete || !r.Verdict.Passed() || r.Verdict.Ops == 0 {
 		t.Errorf("%v, %+v", err, r)
 	}
 }
--- a/lab/run/sites_test.go
+++ b/lab/run/sites_test.go
@@ -26,20 +26,20 @@
 			}
 			r, _ := played(t, x, Options{Command: []string{daemon}, Rule: "minttray"})
 			v := r.Verdict
-			if !v.Kept() || !v.Whole || len(r.Crashes) > 0 || v.Answers["acked"] < 500 {
+			if !v.Passed() || !v.Complete || len(r.Crashes) > 0 || v.Answers["acked"] < 500 {
 				t.Errorf("%s", r.Summary())
 			}
-			sum := v.Left + v.Killed + v.Stalled
+			sum := v.ClientsLeft + v.KilledOps + v.StalledOps
 			for _, n := range v.Answers {
 				sum += n
 			}
-			if sum < v.Ops || sum > v.Ops+v.Stalled { // one that stood still may have answered all the same
+			if sum < v.Ops || sum > v.Ops+v.StalledOps { // one that stood still may have answered all the same
 				t.Errorf("%d tries, %d ends: %+v", v.Ops, sum, v)
 			}
-			if n := r.Vars; name == "site-by-hand" && (n["svc_sites_out"] != 0 || n["svc_site_cache_nodes_out"] != 0 || n["unanswered"] != 0 || v.Killed > 0) {
-				t.Errorf("%v, %d held by processes that ended", n, v.Killed)
+			if n := r.ProxyCounters; name == "site-by-hand" && (n["svc_sites_out"] != 0 || n["svc_site_cache_nodes_out"] != 0 || n["unanswered"] != 0 || v.KilledOps > 0) {
+				t.Errorf("%v, %d held by processes that ended", n, v.KilledOps)
 			}
-			if name == "stalls" && v.Stalled == 0 {
+			if name == "stalls" && v.StalledOps == 0 {
 				t.Error("nobody was asked while it stood still")
 			}
 		})
@@ -58,12 +58,12 @@
 		rule, breaks, file string
 		set                []string
 	}{
-		"seats at once": {"rendezvous", ledger.PushedIn, "site-lost-short", []string{"caches.cold_from=0.05", "caches.warm_up=8s", "rules.fall_multiple=1", "load.rate=900"}},
-		"sent on":       {"reckless", ledger.Copies, "site-cut-short", []string{"caches.mode=\"through\"", "load.rate=600"}},
-		"for nobody":    {baseline.Deaf, ledger.SentOn, "smoke", patient},
-		"drops read":    {baseline.DropsRead, ledger.Lost, "smoke", nil},
-		"drops answer":  {baseline.DropsAnswer, ledger.Lost, "smoke", nil},
-		"own deadline":  {baseline.ClientDeadline, ledger.Deadline, "smoke", patient},
+		"seats at once": {"rendezvous", ledger.RuleColdOverload, "site-lost-short", []string{"caches.cold_from=0.05", "caches.warm_up=8s", "rules.fall_multiple=1", "load.rate=900"}},
+		"sent on":       {"reckless", ledger.RuleDuplicateEffect, "site-cut-short", []string{"caches.mode=\"through\"", "load.rate=600"}},
+		"for nobody":    {baseline.IgnoresClientClose, ledger.RulePushAfterClientLeft, "smoke", patient},
+		"drops read":    {baseline.ClosesAfterRead, ledger.RuleAnswerLost, "smoke", nil},
+		"drops answer":  {baseline.ClosesBeforeReply, ledger.RuleAnswerLost, "smoke", nil},
+		"own deadline":  {baseline.ForwardsClientDeadline, ledger.RuleDeadline, "smoke", patient},
 	} {
 		for _, rule := range []string{c.rule, "minttray"} {
 			t.Run(name+", "+rule, func(t *testing.T) {
@@ -90,10 +90,10 @@
 					o.Command, o.Env = []string{build(t, "mintbase")}, []string{"MINTBASE_RULE=" + rule}
 				}
 				r, _ := played(t, x, o)
-				if name == "for nobody" && r.Verdict.Left == 0 {
+				if name == "for nobody" && r.Verdict.ClientsLeft == 0 {
 					t.Error("no client has left")
 				}
-				if rule == "minttray" && !r.Verdict.Kept() || rule != "minttray" && r.Verdict.Broken[c.breaks] == 0 {
+				if rule == "minttray" && !r.Verdict.Passed() || rule != "minttray" && r.Verdict.Violations[c.breaks] == 0 {
 					t.Errorf("%s", r.Summary())
 				}
 			})
@@ -108,9 +108,9 @@
 		t.Fatal(err)
 	}
 	r := &report.Result{}
-	r.Figures.Seconds = make([]*measure.Second, 60)
-	for i := range r.Figures.Seconds {
-		r.Figures.Seconds[i] = &measure.Second{Asked: 10, InTime: 9, Fetches: 400}
+	r.Stats.Seconds = make([]*measure.Second, 60)
+	for i := range r.Stats.Seconds {
+		r.Stats.Seconds[i] = &measure.Second{BenefitRequested: 10, BenefitInTime: 9, Fetches: 400}
 	}
 	plans := `[{"Lost":["b"],"Phases":[{"Name":"at once","Served":0.5,"Asked":{"Fetches":500}},{"Name":"settled","Served":1},{"Name":"return","Served":1}]}]`
 	var out strings.Builder
--- a/lab/run/soak.go
+++ b/lab/run/soak.go
@@ -22,11 +22,11 @@
 
 // Failed tells whether a rule broke, a process crashed, or nothing could be played.
 func (r SoakRow) Failed() bool {
-	return r.Err != nil || !r.Result.Verdict.Kept() || len(r.Result.Crashes) > 0
+	return r.Err != nil || !r.Result.Verdict.Passed() || len(r.Result.Crashes) > 0
 }
 
 // Void tells whether the run proves nothing: the lab itself ran late.
-func (r SoakRow) Void() bool { return r.Err == nil && !r.Failed() && len(r.Result.Void) > 0 }
+func (r SoakRow) Void() bool { return r.Err == nil && !r.Failed() && len(r.Result.InvalidReasons) > 0 }
 
 // Soak plays drawn runs, some beside each other, and hands on each as it ends.
 func Soak(seeds []uint64, length time.Duration, lanes int, o Options, each func(SoakRow)) {
@@ -90,14 +90,14 @@
 // broken names what went wrong, or "none".
 func (r SoakRow) broken() string {
 	var all []string
-	for rule, n := range r.Result.Verdict.Broken {
+	for rule, n := range r.Result.Verdict.Violations {
 		all = append(all, fmt.Sprintf("%s %d", rule, n))
 	}
 	sort.Strings(all)
 	if len(r.Result.Crashes) > 0 {
 		all = append(all, fmt.Sprintf("crashes %d", len(r.Result.Crashes)))
 	}
-	for _, why := range r.Result.Void {
+	for _, why := range r.Result.InvalidReasons {
 		all = append(all, "void: "+why)
 	}
 	if len(all) == 0 {
--- a/lab/run/soak_test.go
+++ b/lab/run/soak_test.go
@@ -33,7 +33,7 @@
 func keeps(t *testing.T, x *experiment.File, daemon string) {
 	t.Helper()
 	r, _ := played(t, x, Options{Command: []string{daemon}, Rule: "minttray"})
-	if !r.Verdict.Kept() || !r.Verdict.Whole || len(r.Crashes) > 0 || r.Verdict.Answers["acked"] == 0 {
+	if !r.Verdict.Passed() || !r.Verdict.Complete || len(r.Crashes) > 0 || r.Verdict.Answers["acked"] == 0 {
 		t.Errorf("%s", r.Summary())
 	}
 }
--- a/lab/world/cache.go
+++ b/lab/world/cache.go
@@ -143,8 +143,8 @@
 	if cold {
 		was = 1
 	}
-	c.w.Book.Put(ledger.Record{Kind: ledger.Started, At: c.w.Now(), A: c.Number, B: uint32(1000 * c.station.cores), C: was})
-	c.w.Reg.set(c, ledger.Active)
+	c.w.Book.Append(ledger.Record{Kind: ledger.ServerStarted, At: c.w.Now(), A: c.Number, B: uint32(1000 * c.station.cores), C: was})
+	c.w.Reg.set(c, ledger.StateActive)
 	return nil
 }
 
@@ -163,7 +163,7 @@
 	}
 	c.station.clear()
 	if !quiet {
-		c.w.Reg.set(c, ledger.Out)
+		c.w.Reg.set(c, ledger.StateOut)
 	}
 }
 
@@ -172,7 +172,7 @@
 func (c *Cache) Restart() error { return c.up(true) }
 
 // Drain lets the list say that it is leaving; it finishes what it has, and goes after a span.
-func (c *Cache) Drain() { c.w.Reg.set(c, ledger.Leaving) }
+func (c *Cache) Drain() { c.w.Reg.set(c, ledger.StateLeaving) }
 
 // Alive tells whether its process runs.
 func (c *Cache) Alive() bool {
@@ -312,7 +312,7 @@
 		}
 	}
 	for op := range open {
-		k.c.w.Book.Put(ledger.Record{Kind: ledger.Over, At: k.c.w.Now(), Op: op, A: k.c.Number, B: k.number, C: ledger.Dropped})
+		k.c.w.Book.Append(ledger.Record{Kind: ledger.PushEnded, At: k.c.w.Now(), Op: op, A: k.c.Number, B: k.number, C: ledger.EndConnLost})
 	}
 }
 
@@ -325,7 +325,7 @@
 		delete(k.open, op)
 		k.mu.Unlock()
 		if open {
-			k.c.w.Book.Put(ledger.Record{Kind: ledger.Over, At: k.c.w.Now(), Op: op, A: k.c.Number, B: k.number, C: how})
+			k.c.w.Book.Append(ledger.Record{Kind: ledger.PushEnded, At: k.c.w.Now(), Op: op, A: k.c.Number, B: k.number, C: how})
 			answer <- []byte(text)
 		}
 	}
--- a/lab/world/origin.go
+++ b/lab/world/origin.go
@@ -95,36 +95,36 @@
 	work := o.w.work(o.w.Exp.Origin.Work.D(), op, 0)
 	o.w.push(ledger.Record{At: sent, Op: op, B: number, C: uint32(work / time.Microsecond)}, props)
 	over := func(how uint32) {
-		o.w.Book.Put(ledger.Record{Kind: ledger.Over, At: o.w.Now(), Op: op, B: number, C: how})
+		o.w.Book.Append(ledger.Record{Kind: ledger.PushEnded, At: o.w.Now(), Op: op, B: number, C: how})
 	}
 	done := make(chan struct{})
 	_, _, _, lose, failing, vanished := o.Fault.get()
 	if o.w.draw(op, 0, "fail") < failing {
-		over(ledger.Failed)
+		over(ledger.EndFailed)
 		http.Error(out, "failed", http.StatusInternalServerError)
 		return
 	}
 	if !o.station.offer(&job{work: work, done: func() { close(done) }}) {
-		over(ledger.Refused)
+		over(ledger.EndRefused)
 		out.Header().Set("X-Never-Ran", "1")
 		http.Error(out, "full", http.StatusServiceUnavailable)
 		return
 	}
 	if vanished || o.w.draw(op, 0, "lose") < lose {
 		<-r.Context().Done()
-		over(ledger.Dropped)
+		over(ledger.EndConnLost)
 		return
 	}
 	select {
 	case <-done:
 	case <-r.Context().Done(): // the work goes on
-		over(ledger.Dropped)
+		over(ledger.EndConnLost)
 		return
 	}
 	if write {
 		o.w.effect(request{id: id, op: op, category: category, write: true}, 0, 0)
 		o.store(key)
-		over(ledger.Answered)
+		over(ledger.EndAnswered)
 		reply(out, Value(key, id, 1))
 		return
 	}
@@ -137,7 +137,7 @@
 		}
 		m.(*missing).mu.Unlock()
 	}
-	over(ledger.Answered)
+	over(ledger.EndAnswered)
 	reply(out, Value(key, id, category.Size))
 }
 
--- a/lab/world/registry.go
+++ b/lab/world/registry.go
@@ -247,7 +247,7 @@
 			}
 			continue
 		}
-		if e.State != ledger.Out && !a.hidden[e.Zone] {
+		if e.State != ledger.StateOut && !a.hidden[e.Zone] {
 			all = append(all, a.instance(e, caches[n-1]))
 		}
 	}
@@ -317,15 +317,15 @@
 		state := e.State
 		// Where operators have told proxies to doubt such a list, one that names nothing is no word that all have gone.
 		if a.empty && a.reg.w.Exp.Proxies.Doubt == 0 {
-			state = ledger.Out
+			state = ledger.StateOut
 		} else if a.empty {
 			continue
 		}
 		if a.hidden[e.Zone] {
-			state = ledger.Out
+			state = ledger.StateOut
 		}
-		if was, known := a.told[n]; a.life > 0 && (!known && state != ledger.Active || known && was != state) {
-			a.reg.w.Book.Put(ledger.Record{Kind: ledger.Told, At: a.reg.w.Now(), A: a.life, B: n, C: state})
+		if was, known := a.told[n]; a.life > 0 && (!known && state != ledger.StateActive || known && was != state) {
+			a.reg.w.Book.Append(ledger.Record{Kind: ledger.StateAnnounced, At: a.reg.w.Now(), A: a.life, B: n, C: state})
 		}
 		a.told[n] = state
 	}
--- a/lab/world/serve.go
+++ b/lab/world/serve.go
@@ -63,20 +63,20 @@
 	_, refuse, _, lose, failing, vanished := c.Fault.get()
 	switch {
 	case vanished || c.w.draw(r.op, c.Number, "lose") < lose:
-		c.w.Book.Put(ledger.Record{Kind: ledger.Over, At: c.w.Now(), Op: r.op, A: c.Number, B: r.place.number, C: ledger.Silent})
+		c.w.Book.Append(ledger.Record{Kind: ledger.PushEnded, At: c.w.Now(), Op: r.op, A: c.Number, B: r.place.number, C: ledger.EndUnanswered})
 		r.place.mu.Lock()
 		delete(r.place.open, r.op) // it stays owed, on an open connection
 		r.place.mu.Unlock()
 		return
 	case c.w.draw(r.op, c.Number, "refuse") < refuse:
-		r.place.over(r.op, ledger.Refused, r.answer, "-BUSY\r\n")
+		r.place.over(r.op, ledger.EndRefused, r.answer, "-BUSY\r\n")
 		return
 	case c.w.draw(r.op, c.Number, "fail") < failing:
-		r.place.over(r.op, ledger.Failed, r.answer, "-ERR failed\r\n")
+		r.place.over(r.op, ledger.EndFailed, r.answer, "-ERR failed\r\n")
 		return
 	}
 	if r.write && c.w.Exp.Caches.Mode == "aside" {
-		r.place.over(r.op, ledger.Missed, r.answer, "*3\r\n$-1\r\n$-1\r\n$-1\r\n")
+		r.place.over(r.op, ledger.EndMissed, r.answer, "*3\r\n$-1\r\n$-1\r\n$-1\r\n")
 		return
 	}
 	c.mu.Lock()
@@ -99,7 +99,7 @@
 		r.place.mu.Lock()
 		delete(r.place.jobs, j)
 		r.place.mu.Unlock()
-		r.place.over(r.op, ledger.Refused, r.answer, "-BUSY "+c.load()+"\r\n")
+		r.place.over(r.op, ledger.EndRefused, r.answer, "-BUSY "+c.load()+"\r\n")
 	}
 }
 
@@ -111,12 +111,12 @@
 	r.place.mu.Unlock()
 	switch {
 	case hit:
-		c.reply(r, "hit", ledger.Answered)
+		c.reply(r, "hit", ledger.EndAnswered)
 	case r.write:
 		c.w.effect(r, c.Number, c.Zone)
 		c.w.Origin.store(r.key)
 		store.drop(r.key)
-		c.reply(r, "", ledger.Answered)
+		c.reply(r, "", ledger.EndAnswered)
 	case c.w.Exp.Caches.Mode == "aside":
 		if !gone {
 			m, _ := c.w.missed.LoadOrStore(r.id, &missing{})
@@ -125,17 +125,17 @@
 			m.(*missing).mu.Unlock()
 			time.AfterFunc(r.category.TTL.D(), func() { c.w.missed.Delete(r.id) })
 		}
-		r.place.over(r.op, ledger.Missed, r.answer, "*3\r\n$-1\r\n$4\r\nmiss\r\n$"+bulk(c.load())+"\r\n")
+		r.place.over(r.op, ledger.EndMissed, r.answer, "*3\r\n$-1\r\n$4\r\nmiss\r\n$"+bulk(c.load())+"\r\n")
 	default: // through: it fetches by itself
 		if !c.w.Origin.fetch(r.op, func(ok bool) {
 			if !ok {
-				r.place.over(r.op, ledger.Failed, r.answer, "-ERR failed\r\n")
+				r.place.over(r.op, ledger.EndFailed, r.answer, "-ERR failed\r\n")
 				return
 			}
 			store.put(r.key, r.category.Size)
-			c.reply(r, "miss", ledger.Answered)
+			c.reply(r, "miss", ledger.EndAnswered)
 		}) {
-			r.place.over(r.op, ledger.Failed, r.answer, "-ERR failed\r\n")
+			r.place.over(r.op, ledger.EndFailed, r.answer, "-ERR failed\r\n")
 		}
 	}
 }
@@ -194,7 +194,7 @@
 		}
 		time.AfterFunc(r.category.Window.D(), func() { w.repeat.Delete(group) })
 	}
-	w.Book.Put(ledger.Record{Kind: ledger.Effect, At: w.Now(), Op: r.op, A: server})
+	w.Book.Append(ledger.Record{Kind: ledger.WriteApplied, At: w.Now(), Op: r.op, A: server})
 }
 
 // longestDeadline is the longest that a record holds, in milliseconds.
@@ -202,12 +202,12 @@
 
 // push books a push, and the deadline that it passed.
 func (w *World) push(r ledger.Record, props map[string]string) {
-	r.Kind = ledger.Push
-	w.Book.Put(r)
+	r.Kind = ledger.PushReceived
+	w.Book.Append(r)
 	ms, err := strconv.ParseFloat(props["d"], 64)
 	if err != nil || !(ms > 0) {
 		ms = 0
 	}
-	r.Kind, r.C = ledger.Passed, uint32(min(ms, longestDeadline)*1000)
-	w.Book.Put(r)
+	r.Kind, r.C = ledger.DeadlineForwarded, uint32(min(ms, longestDeadline)*1000)
+	w.Book.Append(r)
 }
--- a/lab/world/world.go
+++ b/lab/world/world.go
@@ -21,7 +21,7 @@
 // World is all stand-ins of one run.
 type World struct {
 	Exp    *experiment.File
-	Book   *ledger.Book
+	Book   *ledger.Writer
 	Origin *Origin
 	Reg    *Registry
 
@@ -42,7 +42,7 @@
 }
 
 // New makes a world and opens its listeners; its clock starts here.
-func New(exp *experiment.File, book *ledger.Book) (*World, error) {
+func New(exp *experiment.File, book *ledger.Writer) (*World, error) {
 	w := &World{Exp: exp, Book: book, block: nextBlock(), start: time.Now()}
 	if exp.Cuts() {
 		w.Ways = ways.New(exp.Seed)
--- a/lab/world/world_test.go
+++ b/lab/world/world_test.go
@@ -49,7 +49,7 @@
 
 func count(all []ledger.Record, kind ledger.Kind, c uint32) (n int) {
 	for _, r := range all {
-		if r.Kind == kind && (kind != ledger.Over || r.C == c) {
+		if r.Kind == kind && (kind != ledger.PushEnded || r.C == c) {
 			n++
 		}
 	}
@@ -93,7 +93,7 @@
 		t.Fatal(line, err)
 	}
 	nc.Close()
-	if all := done(); count(all, ledger.Push, 0) != 1 || count(all, ledger.Over, ledger.Missed) != 1 {
+	if all := done(); count(all, ledger.PushReceived, 0) != 1 || count(all, ledger.PushEnded, ledger.EndMissed) != 1 {
 		t.Errorf("%v", all)
 	}
 }
@@ -110,7 +110,7 @@
 		nc.Close()
 		until(t, "the connection's end is seen", func() bool { return c.Connections() == 0 })
 		until(t, mode, func() bool { r, q := c.station.load(); return [2]int{r, q} == want })
-		if all := done(); count(all, ledger.Over, ledger.Dropped) != 2 {
+		if all := done(); count(all, ledger.PushEnded, ledger.EndConnLost) != 2 {
 			t.Errorf("%s: %v", mode, all)
 		}
 	}
@@ -143,7 +143,7 @@
 	nc2, r2 := dial(t, w.Caches()[1])
 	ask(nc, r, set("ab", "0a"))
 	ask(nc2, r2, set("ab", "0a")) // the same op at another cache of its group
-	if all := done(); count(all, ledger.Effect, 0) != 1 || count(all, ledger.Push, 0) != 4 {
+	if all := done(); count(all, ledger.WriteApplied, 0) != 1 || count(all, ledger.PushReceived, 0) != 4 {
 		t.Errorf("%v", all)
 	}
 }
@@ -195,8 +195,8 @@
 	}
 	told := 0
 	for _, r := range done() {
-		if r.Kind == ledger.Told {
-			if told++; r.At < before || r.C != ledger.Leaving || r.B != 1 {
+		if r.Kind == ledger.StateAnnounced {
+			if told++; r.At < before || r.C != ledger.StateLeaving || r.B != 1 {
 				t.Errorf("%v", r)
 			}
 		}
--- a/lab/worth/worth.go
+++ b/lab/worth/worth.go
@@ -36,8 +36,8 @@
 	Put  string `toml:"put"`
 }
 
-// Read decodes a plan strictly.
-func Read(path string) (*Plan, error) {
+// ReadPlan decodes a plan strictly.
+func ReadPlan(path string) (*Plan, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
--- a/lab/worth/worth_test.go
+++ b/lab/worth/worth_test.go
@@ -33,7 +33,7 @@
 }
 
 func TestThePlanFitsTheModule(t *testing.T) {
-	p, err := Read("plan.toml")
+	p, err := ReadPlan("plan.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
