--- a/policy/candidates.go
+++ b/policy/candidates.go
@@ -7,146 +7,158 @@
 	"minttray/decide/circle"
 )
 
-// Bounds of what one request looks at, whatever the number of caches.
+// Bounds of the work for one request, independent of the number of caches.
 const (
-	mostSalts  = 8 << 10 // of one key: buckets that are tried
-	mostLooks  = 256     // caches looked at where no candidate may be used, or found on the way to one of the right zone
-	mostSpread = 32      // candidates of one key that are looked at
+	maxSalts         = 8 << 10 // salts tried for one key
+	maxCachesVisited = 256     // caches visited where no candidate is usable, or found while caches of the other side are wanted
+	maxHotCandidates = 32      // candidates of one key that are considered
 )
 
-// candidateWalk gives the caches that a key maps to, one after another; a bucket without a cache is rehashed. One sequence of salts: the next
-// is where the key lives without the first, so that it moves once when a cache comes or goes. With zones near it lives in each: as many as it
-// fills of the own come first, then by turns one of another and of the own.
+// candidateWalk enumerates the caches that a key maps to. A bucket without a cache is hashed again. The salts form
+// one sequence, so the second candidate is where the key goes when the first is gone: a key moves once when a cache
+// joins or leaves. Where the local zone is preferred, a key has candidates in the local and in remote zones: the
+// first spread candidates are local, after that remote and local ones alternate.
 type candidateWalk struct {
-	b         *Balancer
-	key, salt uint64
-	spread    int
-	number    uint64   // of the walk, by which caches know that it has come to them
-	given     []*cache // in their order
-	own, away []*cache // come to, and not given yet; without zones near all are own
-	seen      int      // caches come to
-	seenOwn   int
+	balancer      *Balancer
+	key, salt     uint64
+	spread        int
+	number        uint64   // of the walk; caches store it to note that the walk has reached them
+	candidates    []*cache // in their order
+	localPending  []*cache // reached but not yet candidates; holds all caches unless the local zone is preferred
+	remotePending []*cache
+	visited       int // caches reached
+	localVisited  int // those of them added to localPending
 }
 
-// walk begins a walk; the one before it must be over.
-func (b *Balancer) walk(key uint64, spread int) *candidateWalk {
-	w := &b.candidates
+// startWalk begins a candidate walk. Only one walk may be in use at a time.
+func (b *Balancer) startWalk(key uint64, spread int) *candidateWalk {
+	w := &b.candidateWalk
 	number := w.number + 1
-	*w = candidateWalk{b: b, key: key, spread: spread, number: number, given: w.given[:0], own: w.own[:0], away: w.away[:0]}
+	*w = candidateWalk{
+		balancer:      b,
+		key:           key,
+		spread:        spread,
+		number:        number,
+		candidates:    w.candidates[:0],
+		localPending:  w.localPending[:0],
+		remotePending: w.remotePending[:0],
+	}
 	return w
 }
 
-// first gives the first n candidates, or all that there are.
-func (w *candidateWalk) first(n int) []*cache {
-	for n = min(n, w.b.ranked.Len()); len(w.given) < n; {
-		from := w.wanted()
-		if len(*from) == 0 && w.noneLeft(from) {
-			from = w.other(from)
+// firstCandidates returns the first n candidates, or all if there are fewer.
+func (w *candidateWalk) firstCandidates(n int) []*cache {
+	for n = min(n, w.balancer.ranked.Len()); len(w.candidates) < n; {
+		source := w.nextSource()
+		if len(*source) == 0 && w.sourceExhausted(source) {
+			source = w.otherSource(source)
 		}
 		switch {
-		case len(*from) > 0:
-			w.given = append(w.given, (*from)[0])
-			*from = slices.Delete(*from, 0, 1)
-		case w.ended():
-			return w.given
+		case len(*source) > 0:
+			w.candidates = append(w.candidates, (*source)[0])
+			*source = slices.Delete(*source, 0, 1)
+		case w.exhausted():
+			return w.candidates
 		default:
-			w.step()
+			w.tryNextSalt()
 		}
 	}
-	return w.given
+	return w.candidates
 }
 
-// wanted is where the next candidate comes from.
-func (w *candidateWalk) wanted() *[]*cache {
-	if w.b.near && len(w.given) >= w.spread && (len(w.given)-w.spread)%2 == 0 {
-		return &w.away
+// nextSource is the list that the next candidate comes from.
+func (w *candidateWalk) nextSource() *[]*cache {
+	if w.balancer.preferLocalZone && len(w.candidates) >= w.spread && (len(w.candidates)-w.spread)%2 == 0 {
+		return &w.remotePending
 	}
-	return &w.own
+	return &w.localPending
 }
 
-func (w *candidateWalk) other(from *[]*cache) *[]*cache {
-	if from == &w.own {
-		return &w.away
+func (w *candidateWalk) otherSource(source *[]*cache) *[]*cache {
+	if source == &w.localPending {
+		return &w.remotePending
 	}
-	return &w.own
+	return &w.localPending
 }
 
-// ended tells whether the walk comes to no further cache.
-func (w *candidateWalk) ended() bool {
-	return w.salt >= min(8*uint64(w.b.circle.Size()), mostSalts) || w.seen == w.b.ranked.Len()
+// exhausted reports whether the walk reaches no further cache.
+func (w *candidateWalk) exhausted() bool {
+	return w.salt >= min(8*uint64(w.balancer.circle.Size()), maxSalts) || w.visited == w.balancer.ranked.Len()
 }
 
-// noneLeft tells whether no further cache of one side comes, or only after too many of the other.
-func (w *candidateWalk) noneLeft(side *[]*cache) bool {
-	if w.ended() || !w.b.near {
-		return w.ended()
+// sourceExhausted reports whether a list gets no further cache, or only after too many for the other list.
+func (w *candidateWalk) sourceExhausted(source *[]*cache) bool {
+	if w.exhausted() || !w.balancer.preferLocalZone {
+		return w.exhausted()
 	}
-	if side == &w.own {
-		return w.seenOwn == w.b.ownCaches || len(w.away) >= mostLooks
+	if source == &w.localPending {
+		return w.localVisited == w.balancer.localCacheCount || len(w.remotePending) >= maxCachesVisited
 	}
-	return w.seen-w.seenOwn == w.b.ranked.Len()-w.b.ownCaches || len(w.own) >= mostLooks
+	return w.visited-w.localVisited == w.balancer.ranked.Len()-w.balancer.localCacheCount || len(w.localPending) >= maxCachesVisited
 }
 
-// step tries the next salt.
-func (w *candidateWalk) step() {
-	b, salt := w.b, w.salt
+// tryNextSalt adds the cache that the key maps to with the next salt, if any.
+func (w *candidateWalk) tryNextSalt() {
+	b, salt := w.balancer, w.salt
 	w.salt++
-	c := b.seats.At(b.circle.BucketFor(w.key, salt))
-	if c == nil || c.walk == w.number || !b.takes(c, w.key, ^salt) {
+	c := b.buckets.At(b.circle.BucketFor(w.key, salt))
+	if c == nil || c.lastWalk == w.number || !b.acceptsKey(c, w.key, ^salt) {
 		return
 	}
-	c.walk = w.number
-	if w.seen++; b.near && c.Zone != b.Zone {
-		w.away = append(w.away, c)
+	c.lastWalk = w.number
+	if w.visited++; b.preferLocalZone && c.Zone != b.Zone {
+		w.remotePending = append(w.remotePending, c)
 		return
 	}
-	w.seenOwn++
-	w.own = append(w.own, c)
+	w.localVisited++
+	w.localPending = append(w.localPending, c)
 }
 
-// takes tells whether a cache takes a key: a small one is passed over in proportion, by the key's hash, alike at every proxy.
-func (b *Balancer) takes(c *cache, key, salt uint64) bool {
-	return float64(circle.Mix(key, salt)>>32) < c.size/b.heaviest*(1<<32)
+// acceptsKey reports whether a cache takes a key. A cache of small weight declines keys in proportion, by the key's
+// hash, so that all proxies decide alike.
+func (b *Balancer) acceptsKey(c *cache, key, salt uint64) bool {
+	return float64(circle.Mix(key, salt)>>32) < c.effectiveWeight/b.maxEffectiveWeight*(1<<32)
 }
 
-// window gives candidates of a key that would fill more caches than a walk may look at. Such a key lives in a row of that many seats, which begins
-// by its hash and is the same at every proxy; this request looks at some that follow each other, from one that is drawn.
-func (b *Balancer) window(key uint64, spread int) []*cache {
-	row := &b.seated
-	if b.near && spread <= b.seatedOwn.Len() {
-		row = &b.seatedOwn
+// hotKeyCandidates returns candidates of a key that would fill more caches than a walk may visit. Such a key is
+// stored in spread consecutive caches, from a start given by its hash that is the same at every proxy. One request
+// considers some consecutive ones of them, from a random start.
+func (b *Balancer) hotKeyCandidates(key uint64, spread int) []*cache {
+	caches := &b.placedCaches
+	if b.preferLocalZone && spread <= b.localPlacedCaches.Len() {
+		caches = &b.localPlacedCaches
 	}
-	n := row.Len()
-	spread = min(spread, n)
-	begin, _ := bits.Mul64(circle.Mix(key, 0), uint64(n))
-	drawn := int(b.rnd.Next()) % spread
-	given := b.candidates.given[:0]
-	for i := range min(mostSpread, spread) {
-		c := row.At((int(begin) + (drawn+i)%spread) % n)
-		if b.takes(c, key, ^uint64(c.ID)) {
-			given = append(given, c)
+	count := caches.Len()
+	spread = min(spread, count)
+	start, _ := bits.Mul64(circle.Mix(key, 0), uint64(count))
+	offset := int(b.random.Next()) % spread
+	candidates := b.candidateWalk.candidates[:0]
+	for i := range min(maxHotCandidates, spread) {
+		c := caches.At((int(start) + (offset+i)%spread) % count)
+		if b.acceptsKey(c, key, ^uint64(c.ID)) {
+			candidates = append(candidates, c)
 		}
 	}
-	b.candidates.given = given
-	return given
+	b.candidateWalk.candidates = candidates
+	return candidates
 }
 
-// sample calls look for caches beyond a key's candidates until it says that one will do: for all, in their order, where these are few, else for
-// some that follow each other from a drawn one. Danger: all of thousands of caches looked at for each request that finds no candidate ready, as in
-// a release, hold up all other requests.
-func (b *Balancer) sample(look func(c *cache) (enough bool)) {
-	n := b.ranked.Len()
-	if n <= mostLooks {
+// sampleCaches calls visit for caches beyond a key's candidates until it reports that one will do: for all caches in
+// ranked order in a small fleet, else for consecutive ones from a random start. Visiting thousands of caches for each
+// request without a ready candidate, as during a release, would hold up all other requests.
+func (b *Balancer) sampleCaches(visit func(c *cache) (enough bool)) {
+	count := b.ranked.Len()
+	if count <= maxCachesVisited {
 		for _, c := range b.ranked.All() {
-			if look(c) {
+			if visit(c) {
 				return
 			}
 		}
 		return
 	}
-	begin := int(uint64(b.rnd.Next()) * uint64(n) >> 32)
-	for i := range mostLooks {
-		if look(b.seated.At((begin + i) % n)) {
+	start := int(uint64(b.random.Next()) * uint64(count) >> 32)
+	for i := range maxCachesVisited {
+		if visit(b.placedCaches.At((start + i) % count)) {
 			return
 		}
 	}
--- a/policy/cost_test.go
+++ b/policy/cost_test.go
@@ -8,22 +8,23 @@
 	"testing"
 )
 
-// mostVisits is how many entries one event may look at, whatever the number of servers: two routes, each of a bounded walk over the salts of
-// a key and a bounded look for any other server.
-const mostVisits = 1200
+// maxVisits is the number of entries that one event may visit, whatever the number of servers: two routes, each with a
+// bounded walk over the salts of a key and a bounded search for any other server.
+const maxVisits = 1200
 
-// perServer are the events that may look at each server a few times: they come as the list changes, or the tick at the end of a quarter of the
+// perServerEvents may visit each server a few times: a change of the list, and the tick that begins a quarter of the
 // slow-start window.
-var perServer = []string{"list", "tick"}
+var perServerEvents = []string{"list", "tick"}
 
-// visitsOf plays a stream, and gives the most entries that one event of each kind looked at. in may put a module of its own in between.
-func visitsOf(f fleetState, in func(*stream, *Balancer)) map[string]int {
+// maxVisitsByEvent plays a stream and returns, for each kind of event, the highest number of entries that one event
+// visited. wrap may replace the stream's module.
+func maxVisitsByEvent(f fleetState, wrap func(*stream, *Balancer)) map[string]int {
 	s, b := newStream(f, 1)
-	if in != nil {
-		in(s, b)
+	if wrap != nil {
+		wrap(s, b)
 	}
 	most := map[string]int{}
-	s.around = func(kind string, event func()) {
+	s.aroundEvent = func(kind string, event func()) {
 		before := b.visits.Count()
 		event()
 		most[kind] = max(most[kind], b.visits.Count()-before)
@@ -36,59 +37,60 @@
 	return most
 }
 
-// What one request, answer, failure, report, probe or timer costs does not depend on how many servers there are.
+// Guards against events that take longer in a larger fleet: the cost of a request, answer, failure, report, probe or
+// timer must not depend on the number of servers.
 func TestCostOfAnEventIsBounded(t *testing.T) {
 	for _, servers := range []int{200, 800, 3200} {
 		for _, f := range fleetStates(servers) {
-			most := visitsOf(f, nil)
+			most := maxVisitsByEvent(f, nil)
 			for _, kind := range slices.Sorted(maps.Keys(most)) {
-				bound := mostVisits
-				if slices.Contains(perServer, kind) {
-					bound = 16*servers + mostVisits
+				bound := maxVisits
+				if slices.Contains(perServerEvents, kind) {
+					bound = 16*servers + maxVisits
 				}
 				if most[kind] > bound {
-					t.Errorf("%d servers, %s: one %s looks at %d entries, %d at most are allowed", servers, f.name, kind, most[kind], bound)
+					t.Errorf("%d servers, %s: one %s visits %d entries, limit is %d", servers, f.name, kind, most[kind], bound)
 				}
 			}
 		}
 	}
 }
 
-// walking is a module with a planted walk over all servers on each report.
-type walking struct{ *Balancer }
+// walkingModule visits all servers on each report.
+type walkingModule struct{ *Balancer }
 
-func (w walking) Reported(id uint32, pace Time) {
+func (w walkingModule) Reported(id uint32, pace Time) {
 	for range w.ranked.All() {
 	}
 	w.Balancer.Reported(id, pace)
 }
 
-// A planted walk over all servers is caught.
+// Checks the check: an event that visits all servers must be counted.
 func TestAPlantedWalkIsCounted(t *testing.T) {
 	f := fleetState{name: "warm", servers: 3200}
-	most := visitsOf(f, func(s *stream, b *Balancer) { s.module = walking{b} })
+	most := maxVisitsByEvent(f, func(s *stream, b *Balancer) { s.module = walkingModule{b} })
 	if most["report"] < f.servers {
-		t.Errorf("%v", most)
+		t.Errorf("a report that visits all %d servers is counted with %d visits", f.servers, most["report"])
 	}
 }
 
-// BenchmarkTick is one tick, in the module alone.
+// BenchmarkTick measures one tick of the balancer, without an engine.
 func BenchmarkTick(b *testing.B) {
 	for _, servers := range []int{200, 800, 3200} {
 		b.Run(fmt.Sprint(servers), func(b *testing.B) {
 			s, module := newStream(fleetState{servers: servers, cold: 0.3}, 1)
 			s.run(300, 40)
-			s.still = true
+			s.ticksStopped = true
 			for b.Loop() {
 				s.now += 200
-				module.TimerDue(tokenTick)
-				s.due = s.due[:0]
+				module.TimerDue(tickToken)
+				s.events = s.events[:0]
 			}
 		})
 	}
 }
 
-// BenchmarkRequest is a request from its arrival to its answer, in the module alone; no tick is played beside it.
+// BenchmarkRequest measures a request from its arrival to its answer in the balancer, without an engine or ticks.
 func BenchmarkRequest(b *testing.B) {
 	for _, servers := range []int{200, 800, 3200} {
 		for _, f := range []fleetState{
@@ -101,7 +103,7 @@
 			b.Run(fmt.Sprintf("%s/%d", strings.ReplaceAll(f.name, " ", "_"), servers), func(b *testing.B) {
 				s, _ := newStream(f, 1)
 				s.run(300, 40)
-				s.still = true
+				s.ticksStopped = true
 				for b.Loop() {
 					s.run(1, 40)
 				}
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -12,83 +12,85 @@
 	"testing"
 )
 
-// world plays a scenario: it is the module's host, and answers pushes by itself where told to.
+// world plays a scenario. It is the balancer's host, and answers pushes by itself where the scenario says so.
 type world struct {
-	t      *testing.T
-	seed   uint64
-	s      Settings
-	b      *Balancer
-	now    Time
-	due    []event
-	log    []string
-	counts map[string]int
-	pushes map[uint32]int
-	cats   map[uint32]int // by op
-	names  map[string]string
-	auto   map[string]answer // by cache, or *
-	totals map[string]int
-	last   bool
+	t           *testing.T
+	seed        uint64
+	settings    Settings
+	balancer    *Balancer
+	now         Time
+	events      []event
+	log         []string
+	counts      map[string]int
+	pushes      map[uint32]int
+	categoryOf  map[uint32]int // by op
+	names       map[string]string
+	autoAnswers map[string]answer // by cache, by cache/category, or * for all
+	totals      map[string]int
+	lastRun     bool
 }
 
 type answer struct {
-	outcome string
-	after   Time
-	lose    int // of so many answers one never comes
-	n       *int
+	outcome   string
+	after     Time
+	loseEvery int // one answer in this many never comes; 0: none
+	sent      *int
 }
 
 type event struct {
-	at Time
-	do func()
+	at  Time
+	run func()
 }
 
 func (w *world) Now() Time { return w.now }
-func (w *world) say(kind string, what ...any) {
+func (w *world) record(kind string, what ...any) {
 	line := strings.TrimSpace(kind + " " + fmt.Sprintln(what...))
 	w.log = append(w.log, line)
 	w.counts[kind]++
 	w.counts[fmt.Sprint(kind, " ", what[min(1, len(what)-1)])]++
 }
-func (w *world) after(span Time, do func()) { w.due = append(w.due, event{w.now + span, do}) }
+func (w *world) after(span Time, do func()) { w.events = append(w.events, event{w.now + span, do}) }
 func (w *world) Push(op, cache uint32, until Time) {
-	w.say("push", op, cache, until/10)
+	w.record("push", op, cache, until/10)
 	n := w.pushes[op]
 	w.pushes[op]++
-	a, ok := w.auto[fmt.Sprint(cache, "/", w.cats[op])]
+	a, ok := w.autoAnswers[fmt.Sprint(cache, "/", w.categoryOf[op])]
 	if !ok {
-		a, ok = w.auto[fmt.Sprint(cache)]
+		a, ok = w.autoAnswers[fmt.Sprint(cache)]
 	}
 	if !ok {
-		a, ok = w.auto["*"]
+		a, ok = w.autoAnswers["*"]
 	}
-	if a.n != nil {
-		*a.n++
+	if a.sent != nil {
+		*a.sent++
 	}
-	if a.outcome == "timeout" || a.lose > 0 && *a.n%a.lose == 0 {
+	if a.outcome == "timeout" || a.loseEvery > 0 && *a.sent%a.loseEvery == 0 {
 		a.outcome = "timeout"
 		a.after = until - w.now
 	}
 	if ok {
 		w.after(a.after, func() {
-			w.b.PushEnded(op, n, outcomes[a.outcome], a.outcome == "unfetched", a.outcome == "acked", a.after)
+			w.balancer.PushEnded(op, n, outcomeNames[a.outcome], a.outcome == "unfetched", a.outcome == "acked", a.after)
 		})
 	}
 }
-func (w *world) Cancel(op uint32, push int)     { w.say("cancel", op, push) }
-func (w *world) Nack(op uint32, comeBack Time)  { w.say("nack", op) }
-func (w *world) DeadLetter(op uint32)           { w.say("dead", op) }
-func (w *world) Timer(token uint64, after Time) { w.after(after, func() { w.b.TimerDue(token) }) }
-func (w *world) Probe(cache uint32)             { w.say("probe", cache) }
-func (w *world) SendToPeers(news []byte)               { w.say("tell", len(news)) }
-func (w *world) CloseIdle(cache uint32)             { w.counts["close"]++ }
-func (w *world) Log(text string)                {}
-func (w *world) Watch(on bool)                  { w.say("watch", on) }
+func (w *world) Cancel(op uint32, push int)    { w.record("cancel", op, push) }
+func (w *world) Nack(op uint32, comeBack Time) { w.record("nack", op) }
+func (w *world) DeadLetter(op uint32)          { w.record("dead", op) }
+func (w *world) Timer(token uint64, after Time) {
+	w.after(after, func() { w.balancer.TimerDue(token) })
+}
+func (w *world) Probe(cache uint32)      { w.record("probe", cache) }
+func (w *world) SendToPeers(news []byte) { w.record("tell", len(news)) }
+func (w *world) CloseIdle(cache uint32)  { w.counts["close"]++ }
+func (w *world) Log(text string)         {}
+func (w *world) Watch(on bool)           { w.record("watch", on) }
 
 func (w *world) run(to Time) {
 	for {
 		next := -1
-		for i, e := range w.due {
-			if e.at <= to && (next < 0 || e.at < w.due[next].at) {
+		for i, e := range w.events {
+			if e.at <= to && (next < 0 || e.at < w.events[next].at) {
 				next = i
 			}
 		}
@@ -96,18 +98,18 @@
 			w.now = to
 			return
 		}
-		e := w.due[next]
-		w.due = slices.Delete(w.due, next, next+1)
+		e := w.events[next]
+		w.events = slices.Delete(w.events, next, next+1)
 		w.now = e.at
-		e.do()
+		e.run()
 	}
 }
 
-var outcomes = map[string]Outcome{"acked": Acked, "error": Errored, "unfetched": Errored, "full": Rejected, "timeout": TimedOut,
+var outcomeNames = map[string]Outcome{"acked": Acked, "error": Errored, "unfetched": Errored, "full": Rejected, "timeout": TimedOut,
 	"unconnected": ConnectFailed, "broken": ConnectionLost, "cancelled": Cancelled, "moot": NotSent, "miss": Miss}
-var lists = map[string]ListKind{"full": ListFull, "delta": ListDelta, "cached": ListCached, "failed": ListFailed}
+var listKindNames = map[string]ListKind{"full": ListFull, "delta": ListDelta, "cached": ListCached, "failed": ListFailed}
 
-func number(t *testing.T, s string) float64 {
+func parseNumber(t *testing.T, s string) float64 {
 	v, err := strconv.ParseFloat(s, 64)
 	if err != nil {
 		t.Fatalf("not a number: %q", s)
@@ -115,24 +117,25 @@
 	return v
 }
 
-func options(t *testing.T, words []string) map[string]float64 {
+func parseOptions(t *testing.T, words []string) map[string]float64 {
 	o := map[string]float64{}
 	for _, word := range words {
 		name, value, ok := strings.Cut(word, "=")
 		if !ok {
 			value = "1"
 		}
-		o[name] = number(t, value)
+		o[name] = parseNumber(t, value)
 	}
 	return o
 }
 
-// entry reads 3, 3:draining, 3:gone, 9:origin, with options after slashes: 3/zone=1/start=500/weight=0.5/out=1.
-func entry(t *testing.T, word string) Entry {
+// parseEntry reads 3, 3:draining, 3:gone or 9:origin, with options after slashes:
+// 3/zone=1/start=500/weight=0.5/out=1.
+func parseEntry(t *testing.T, word string) Entry {
 	parts := strings.Split(word, "/")
 	id, state, _ := strings.Cut(parts[0], ":")
-	o := options(t, parts[1:])
-	e := Entry{ID: uint32(number(t, id)), Zone: int(o["zone"]), Kind: int(o["kind"]), Cell: int(o["cell"]), Weight: cmp.Or(o["weight"], 1),
+	o := parseOptions(t, parts[1:])
+	e := Entry{ID: uint32(parseNumber(t, id)), Zone: int(o["zone"]), Kind: int(o["kind"]), Cell: int(o["cell"]), Weight: cmp.Or(o["weight"], 1),
 		Start: Time(10 * o["start"]), Excluded: o["out"] > 0}
 	e.State = map[string]State{"draining": Draining, "gone": Gone}[state]
 	if state == "origin" {
@@ -141,22 +144,23 @@
 	return e
 }
 
-func (w *world) op(id uint32, o map[string]float64) {
+func (w *world) arrive(id uint32, o map[string]float64) {
 	left := Time(10 * o["left"])
 	if left == 0 {
-		left = w.s.Categories[int(o["cat"])].TTL
+		left = w.settings.Categories[int(o["cat"])].TTL
 	}
-	if w.cats == nil {
-		w.cats = map[uint32]int{}
+	if w.categoryOf == nil {
+		w.categoryOf = map[uint32]int{}
 	}
-	w.cats[id] = int(o["cat"])
-	w.b.OpArrived(id, uint64(o["key"]), int(o["cat"]), int(o["tenant"]), o["write"] > 0, o["again"] > 0, left)
+	w.categoryOf[id] = int(o["cat"])
+	w.balancer.OpArrived(id, uint64(o["key"]), int(o["cat"]), int(o["tenant"]), o["write"] > 0, o["again"] > 0, left)
 }
 
-// want checks the next action: * is any word, ?x names a word, x a word so named, !x any other.
-func (w *world) want(words []string) error {
+// expect checks the next action: * matches any word, ?x stores a word under the name x, x matches that word, and !x any
+// other.
+func (w *world) expect(words []string) error {
 	if len(w.log) == 0 {
-		return fmt.Errorf("nothing was done")
+		return fmt.Errorf("no action was recorded")
 	}
 	got := strings.Fields(w.log[0])
 	for i, word := range words {
@@ -181,30 +185,30 @@
 	t, rest := w.t, words[1:]
 	switch words[0] {
 	case "settings":
-		o := options(t, rest)
-		w.s = Settings{Proxies: int(max(o["proxies"], 1)), AskList: o["ask"] > 0, AskEvery: 100000,
+		o := parseOptions(t, rest)
+		w.settings = Settings{Proxies: int(max(o["proxies"], 1)), AskList: o["ask"] > 0, AskEvery: 100000,
 			Aside: o["aside"] > 0, OriginKind: 1, ColdFrom: 0.5, WarmUp: 100000, FallMultiple: 2, TipAfter: 20000,
 			Tick: 50, MaxRetryAfter: 10000, MostPushes: int(cmp.Or(o["pushes"], 4)), Cancelling: true, MarksRetry: o["marks"] > 0,
 			BeyondBenefit: o["beyond"], ConnPrice: o["connection"], HandshakePrice: o["handshake"],
 			Probing: o["probing"] > 0, CrossPrice: o["cross"], Zones: int(max(o["zones"], 1)), RoughWeights: o["rough"] > 0,
 			Peers: o["peers"] > 0, PeerPrice: o["message"], NinesPart: o["nines"], FullAtNines: 2 * min(o["nines"]*1e9, 1)}
 	case "category":
-		o := options(t, rest[1:])
-		w.s.Categories = append(w.s.Categories, Category{Benefit: max(o["benefit"], 1), Window: Time(10 * o["window"]),
+		o := parseOptions(t, rest[1:])
+		w.settings.Categories = append(w.settings.Categories, Category{Benefit: max(o["benefit"], 1), Window: Time(10 * o["window"]),
 			Target: Time(10 * o["target"]), TTL: Time(10 * o["ttl"]), Group: Group(o["group"]),
 			Effect: map[string]Effect{"redeliverable": Redeliverable, "deduplicated": Deduplicated,
 				"at-most-once": AtMostOnce}[rest[0]]})
 	case "tenant":
-		w.s.Quotas = append(w.s.Quotas, number(t, rest[0]))
+		w.settings.Quotas = append(w.settings.Quotas, parseNumber(t, rest[0]))
 	case "dropped":
-		w.s.Categories = slices.Clone(w.s.Categories) // the module keeps what it has been given
-		w.s.Categories[int(number(t, rest[0]))].Dropped = true
+		w.settings.Categories = slices.Clone(w.settings.Categories) // the balancer keeps the slice that it was given
+		w.settings.Categories[int(parseNumber(t, rest[0]))].Dropped = true
 	case "pushes":
-		w.s.MostPushes = int(number(t, rest[0]))
+		w.settings.MostPushes = int(parseNumber(t, rest[0]))
 	case "retune":
-		w.b.Retune(w.s)
+		w.balancer.Retune(w.settings)
 	case "start":
-		w.b = New(w.s, w.seed, w)
+		w.balancer = New(w.settings, w.seed, w)
 	case "list":
 		var entries []Entry
 		for _, word := range rest[1:] {
@@ -212,57 +216,57 @@
 			for name, id := range w.names {
 				word = strings.Replace(word, name+":", id+":", 1)
 			}
-			entries = append(entries, entry(t, word))
+			entries = append(entries, parseEntry(t, word))
 		}
-		w.b.ListArrived(lists[rest[0]], entries)
+		w.balancer.ListArrived(listKindNames[rest[0]], entries)
 	case "op":
-		w.op(uint32(number(t, rest[0])), options(t, rest[1:]))
-	case "flood": // ops from an id on, each with a key of its own unless one is given
-		o := options(t, rest[1:])
-		first := number(t, rest[0])
+		w.arrive(uint32(parseNumber(t, rest[0])), parseOptions(t, rest[1:]))
+	case "flood": // ops with consecutive ids, each with its own key unless one is given
+		o := parseOptions(t, rest[1:])
+		first := parseNumber(t, rest[0])
 		for i := 0.0; i < o["n"]; i++ {
 			if _, ok := o["key"]; !ok || o["spread"] > 0 {
 				o["spread"], o["key"] = 1, first+i
 			}
-			w.op(uint32(first+i), o)
+			w.arrive(uint32(first+i), o)
 			w.run(w.now + Time(10*o["gap"]))
 		}
 	case "end":
-		o := options(t, rest[3:])
-		n := int(number(t, rest[1]))
-		w.b.PushEnded(uint32(number(t, rest[0])), n, outcomes[rest[2]], o["missed"] > 0,
+		o := parseOptions(t, rest[3:])
+		n := int(parseNumber(t, rest[1]))
+		w.balancer.PushEnded(uint32(parseNumber(t, rest[0])), n, outcomeNames[rest[2]], o["missed"] > 0,
 			o["final"] > 0 || rest[2] == "acked", Time(10*o["taken"]))
 	case "report":
-		w.b.Reported(uint32(number(t, cmp.Or(w.names[rest[0]], rest[0]))), Time(10*number(t, rest[1])))
-	case "probed": // its name, ops that wait, ops a second; or none, where it told nothing
-		id := uint32(number(t, cmp.Or(w.names[rest[0]], rest[0])))
+		w.balancer.Reported(uint32(parseNumber(t, cmp.Or(w.names[rest[0]], rest[0]))), Time(10*parseNumber(t, rest[1])))
+	case "probed": // cache, waiting ops, ops a second; or "none" where the cache reported nothing
+		id := uint32(parseNumber(t, cmp.Or(w.names[rest[0]], rest[0])))
 		if rest[1] == "none" {
-			w.b.Probed(id, false, 0, 0)
+			w.balancer.Probed(id, false, 0, 0)
 			break
 		}
-		w.b.Probed(id, true, number(t, rest[1]), number(t, rest[2]))
+		w.balancer.Probed(id, true, parseNumber(t, rest[1]), parseNumber(t, rest[2]))
 	case "auto":
-		w.auto[cmp.Or(w.names[rest[0]], rest[0])] = answer{rest[1], Time(10 * number(t, rest[2])),
-			int(options(t, rest[3:])["lose"]), new(int)}
+		w.autoAnswers[cmp.Or(w.names[rest[0]], rest[0])] = answer{rest[1], Time(10 * parseNumber(t, rest[2])),
+			int(parseOptions(t, rest[3:])["lose"]), new(int)}
 	case "peer":
-		w.b.PeerMessageReceived(binary.LittleEndian.AppendUint64(nil, uint64(number(t, cmp.Or(w.names[rest[0]], rest[0])))))
+		w.balancer.PeerMessageReceived(binary.LittleEndian.AppendUint64(nil, uint64(parseNumber(t, cmp.Or(w.names[rest[0]], rest[0])))))
 	case "handback":
-		w.b.HandBack(uint32(number(t, rest[0])))
+		w.balancer.HandBack(uint32(parseNumber(t, rest[0])))
 	case "leaves":
-		w.b.ClientLeft(uint32(number(t, rest[0])))
+		w.balancer.ClientLeft(uint32(parseNumber(t, rest[0])))
 	case "wait":
-		w.run(w.now + Time(10*number(t, rest[0])))
+		w.run(w.now + Time(10*parseNumber(t, rest[0])))
 	case "want":
-		return w.want(rest)
+		return w.expect(rest)
 	case "nothing":
 		if len(w.log) > 0 {
 			return fmt.Errorf("got %q", w.log[0])
 		}
 	case "forget":
 		w.log, w.counts = nil, map[string]int{}
-	case "total": // over all times that the chapter is played
+	case "total": // summed over all repetitions of the chapter
 		what := strings.Join(rest[:len(rest)-4], " ")
-		if w.totals[what] += w.counts[what]; !w.last {
+		if w.totals[what] += w.counts[what]; !w.lastRun {
 			return nil
 		}
 		w.counts[what] = w.totals[what]
@@ -273,7 +277,7 @@
 			what = strings.Replace(what, rest[len(rest)-5], name, 1)
 		}
 		n := float64(w.counts[what])
-		if n < number(t, rest[len(rest)-3]) || n > number(t, rest[len(rest)-1]) {
+		if n < parseNumber(t, rest[len(rest)-3]) || n > parseNumber(t, rest[len(rest)-1]) {
 			return fmt.Errorf("%s: %v times", what, n)
 		}
 	default:
@@ -296,13 +300,13 @@
 		for _, chapter := range parts[1:] {
 			name, steps, _ := strings.Cut(chapter, "\n")
 			t.Run(filepath.Base(file)+"/"+name, func(t *testing.T) {
-				times, totals := 1, map[string]int{} // a chapter "... times 100" is played by 100 proxies
+				times, totals := 1, map[string]int{} // a chapter named "... times 100" is played by 100 proxies
 				if _, n, ok := strings.Cut(name, " times "); ok {
-					times = int(number(t, n))
+					times = int(parseNumber(t, n))
 				}
 				for i := range times {
 					w := &world{t: t, now: 1000, seed: 7 + uint64(i)<<32, counts: map[string]int{}, pushes: map[uint32]int{},
-						names: map[string]string{}, auto: map[string]answer{}, totals: totals, last: i == times-1}
+						names: map[string]string{}, autoAnswers: map[string]answer{}, totals: totals, lastRun: i == times-1}
 					for _, line := range strings.Split(parts[0]+"\n"+steps, "\n") {
 						line, _, _ = strings.Cut(line, "#")
 						if words := strings.Fields(line); len(words) > 0 {
@@ -317,20 +321,20 @@
 	}
 }
 
-// Danger: on a long day ids are ever new, and what is kept of each that has gone fills the memory.
+// Guards against a memory leak: ids of caches are never reused, so records of caches that are gone must be deleted.
 func TestGoneCachesAreForgotten(t *testing.T) {
-	w := &world{t: t, counts: map[string]int{}, pushes: map[uint32]int{}, auto: map[string]answer{"*": {outcome: "acked", after: 10}}}
+	w := &world{t: t, counts: map[string]int{}, pushes: map[uint32]int{}, autoAnswers: map[string]answer{"*": {outcome: "acked", after: 10}}}
 	for _, line := range []string{"settings", "category redeliverable target=500 ttl=1000", "start"} {
 		w.step(strings.Fields(line))
 	}
 	for id := uint32(1); id <= 500; id++ {
-		w.b.ListArrived(ListDelta, []Entry{{ID: id, Weight: 1}})
-		w.op(id, map[string]float64{"key": float64(id)})
+		w.balancer.ListArrived(ListDelta, []Entry{{ID: id, Weight: 1}})
+		w.arrive(id, map[string]float64{"key": float64(id)})
 		w.run(w.now + 1000)
-		w.b.ListArrived(ListDelta, []Entry{{ID: id, State: Gone}})
+		w.balancer.ListArrived(ListDelta, []Entry{{ID: id, State: Gone}})
 	}
-	w.run(w.now + 10*w.s.TipAfter)
-	if w.b.caches.Len() > 1 || len(w.b.ops) > 0 {
-		t.Errorf("%d caches and %d ops kept", w.b.caches.Len(), len(w.b.ops))
+	w.run(w.now + 10*w.settings.TipAfter)
+	if w.balancer.caches.Len() > 1 || len(w.balancer.ops) > 0 {
+		t.Errorf("%d caches and %d ops still stored, want 1 and 0 at most", w.balancer.caches.Len(), len(w.balancer.ops))
 	}
 }
--- a/policy/route.go
+++ b/policy/route.go
@@ -5,118 +5,125 @@
 	"slices"
 )
 
-// allowed tells whether the rules and the cache's state let this op go there now.
+// allowed reports whether the rules and the server's state let an op go there now.
 func (b *Balancer) allowed(o *op, c *cache, now Time) bool {
-	if !c.listed || c.State != Ready || c.Excluded || slices.Contains(o.tried, c) {
+	if !c.listed || c.State != Ready || c.Excluded || slices.Contains(o.triedCaches, c) {
 		return false
 	}
-	if c != b.origin && (now < c.restUntil || !b.slowStartRoom(c, now) || c.by.IsOutlier(&b.all.by, o.cat)) {
+	if c != b.origin && (now < c.suspendedUntil || !b.slowStartAllows(c, now) || c.byCategory.IsOutlier(&b.fleetTotal.byCategory, o.category)) {
 		return false
 	}
-	return o.ran == nil || b.repeatable(o, c, now)
+	return o.firstExecuted == nil || b.mayRepeat(o, c, now)
 }
 
-// repeatable tells whether an op that may have run may go to a cache: it is harmless, or dropped inside its group and window.
-func (b *Balancer) repeatable(o *op, c *cache, now Time) bool {
+// mayRepeat reports whether an op that may have been executed may go to a cache: a repeat does no harm, or it is
+// dropped within the op's group and window.
+func (b *Balancer) mayRepeat(o *op, c *cache, now Time) bool {
 	switch {
-	case o.cat.Effect == Redeliverable:
+	case o.category.Effect == Redeliverable:
 		return true
-	case o.cat.Effect != Deduplicated || now+b.Tick >= o.ran.at+o.cat.Window:
+	case o.category.Effect != Deduplicated || now+b.Tick >= o.firstExecuted.sentAt+o.category.Window:
 		return false
 	}
-	switch o.cat.Group {
+	switch o.category.Group {
 	case GroupAll:
 		return true
 	case GroupZone:
-		return c.Zone == o.ran.to.Zone
+		return c.Zone == o.firstExecuted.cache.Zone
 	default:
-		return c.Cell == o.ran.to.Cell
+		return c.Cell == o.firstExecuted.cache.Cell
 	}
 }
 
-// route gives the cache that an op goes to now; nil: none may be used.
+// route returns the cache that an op goes to now, nil if none is usable.
 func (b *Balancer) route(o *op) *cache {
 	now := b.host.Now()
-	c, choices := b.candidate(o, now)
+	c, considered := b.firstUsableCandidate(o, now)
 	if c != nil {
 		return c
 	}
-	return b.leastCrowded(o, choices, now)
+	return b.leastLoaded(o, considered, now)
 }
 
-// candidate gives the first of a key's candidates that is ready and not far over its mean load, and all that it has looked at.
-func (b *Balancer) candidate(o *op, now Time) (c *cache, choices []*cache) {
-	// A key that asks for more than a mean cache's fair share is spread over as many as it would fill.
-	spread := 1 + int(o.heat*float64(b.ranked.Len()))
-	hot := min(spread, b.ranked.Len()) > mostSpread
+// firstUsableCandidate returns the first of a key's candidates that is ready and not far above its mean load, and
+// all candidates that it has considered.
+func (b *Balancer) firstUsableCandidate(o *op, now Time) (c *cache, considered []*cache) {
+	// A key that gets more requests than a mean cache's fair share is spread over as many caches as it would fill.
+	spread := 1 + int(o.popularity*float64(b.ranked.Len()))
+	hot := min(spread, b.ranked.Len()) > maxHotCandidates
 	var walk *candidateWalk
 	if hot {
-		choices = b.window(o.key, spread)
+		considered = b.hotKeyCandidates(o.key, spread)
 	} else {
-		walk = b.walk(o.key, spread)
-		choices = walk.first(spread)
-		if n := len(choices); n > 1 {
-			first := int(b.rnd.Next()) % n
-			choices[0], choices[first] = choices[first], choices[0]
+		walk = b.startWalk(o.key, spread)
+		considered = walk.firstCandidates(spread)
+		if n := len(considered); n > 1 {
+			first := int(b.random.Next()) % n
+			considered[0], considered[first] = considered[first], considered[0]
 		}
 	}
-	spare := b.originSpare(o)
-	most := max(candidates, min(spread, mostSpread)) // those in doubt are not counted: of a lost zone, three would often be
-	for i := 0; i < most; i++ {
+	spareOrigin := b.originHasSpareCapacity(o)
+	// Skipped candidates are not counted, up to a bound: where a zone is lost, all of the first three would often be.
+	limit := max(maxCandidates, min(spread, maxHotCandidates))
+	for i := 0; i < limit; i++ {
 		if !hot {
-			choices = walk.first(i + 1)
+			considered = walk.firstCandidates(i + 1)
 		}
-		if i >= len(choices) {
+		if i >= len(considered) {
 			break
 		}
-		c := choices[i]
+		c := considered[i]
 		switch {
-		case b.passedOver(o, c, spare, now): // else a pass is a miss in vain
-			most = min(most+1, 3*candidates)
-		case b.allowed(o, c, now) && b.belowMean(c) && (!spare || b.room(c, o)):
-			return c, choices
+		case b.skipCandidate(o, c, spareOrigin, now):
+			limit = min(limit+1, 3*maxCandidates)
+		// At its limit, a candidate is only passed over if the origin can take the miss that this causes.
+		case b.allowed(o, c, now) && b.withinMeanLoad(c) && (!spareOrigin || b.hasRoom(c, o)):
+			return c, considered
 		}
 	}
-	return nil, choices
+	return nil, considered
 }
 
-// originSpare tells whether the origin has room for a miss: then a choice at its limit is passed over like one that is not ready.
-func (b *Balancer) originSpare(o *op) bool {
-	return b.origin != nil && len(b.queue) == 0 && b.usually(b.origin) <= b.origin.near*3/2 &&
-		b.strain < calm+0.25 && o.beyond == 0
+// originHasSpareCapacity reports whether the origin can take a miss. A candidate at its limit is then passed over
+// like one that is not ready.
+func (b *Balancer) originHasSpareCapacity(o *op) bool {
+	return b.origin != nil && len(b.originQueue) == 0 && b.medianLatency(b.origin) <= b.origin.minLatency*3/2 &&
+		b.overload < overloadNoise+0.25 && o.quotaPenalty == 0
 }
 
-// passedOver tells whether a candidate is passed over for the next one: it, or all of its zone, lately failed this proxy or its peers, its
-// way is too long, or it is crowded. Few proxies each see enough to go by limits.
-func (b *Balancer) passedOver(o *op, c *cache, spare bool, now Time) bool {
-	doubt := b.Proxies > firstLimit && (c.doubt.Active(now) || b.sites.ShouldAvoid(c.Zone, o.key, now)) ||
-		b.rnd.Float64() < c.shun && (b.shadow == nil || b.room(b.shadow, o))
-	return doubt || b.far(o, c, now) || spare && b.crowded(c, now) > 0
+// skipCandidate reports whether a candidate is passed over for the next one: it, or its whole zone, recently failed
+// this proxy or its peers, its zone is too far away, or it has a long queue. Own failures count only in large fleets
+// of proxies; in a small one each proxy sees enough to rely on limits.
+func (b *Balancer) skipCandidate(o *op, c *cache, spareOrigin bool, now Time) bool {
+	suspected := b.Proxies > initialFleetLimit && (c.suspicion.Active(now) || b.siteOutages.ShouldAvoid(c.Zone, o.key, now)) ||
+		b.random.Float64() < c.peerSuspicion && (b.originFetches == nil || b.hasRoom(b.originFetches, o))
+	return suspected || b.zoneTooSlow(o, c, now) || spareOrigin && b.queueDelay(c, now) > 0
 }
 
-// belowMean tells whether a cache has at most twice the mean load out, in proportion to its size.
-func (b *Balancer) belowMean(c *cache) bool {
-	mean := float64(b.out) * c.size / b.sizes
-	return float64(c.out) <= max(2*mean, mean+2)
+// withinMeanLoad reports whether a cache has at most twice the mean number of pushes in flight, in proportion to its
+// weight.
+func (b *Balancer) withinMeanLoad(c *cache) bool {
+	mean := float64(b.inFlight) * c.effectiveWeight / b.totalEffectiveWeight
+	return float64(c.inFlight) <= max(2*mean, mean+2)
 }
 
-// leastCrowded gives the least crowded of the candidates that may be used, or of other caches if no candidate may.
-func (b *Balancer) leastCrowded(o *op, choices []*cache, now Time) (least *cache) {
-	look := func(c *cache) (enough bool) {
-		if b.allowed(o, c, now) && (least == nil || b.lessCrowded(c, least, now)) {
+// leastLoaded returns the least loaded usable cache of those considered, or of others if none of them is usable.
+func (b *Balancer) leastLoaded(o *op, considered []*cache, now Time) (least *cache) {
+	visit := func(c *cache) (enough bool) {
+		if b.allowed(o, c, now) && (least == nil || b.lessLoaded(c, least, now)) {
 			least = c
 		}
-		return least != nil && least.out == 0 && b.crowded(least, now) == 0
+		return least != nil && least.inFlight == 0 && b.queueDelay(least, now) == 0
 	}
-	for _, c := range choices {
-		look(c)
+	for _, c := range considered {
+		visit(c)
 	}
 	if least == nil {
-		b.sample(look)
+		b.sampleCaches(visit)
 	}
 	return least
 }
 
-func (b *Balancer) lessCrowded(x, y *cache, now Time) bool {
-	return cmp.Or(cmp.Compare(b.crowded(x, now), b.crowded(y, now)), cmp.Compare(x.out, y.out)) < 0
+func (b *Balancer) lessLoaded(x, y *cache, now Time) bool {
+	return cmp.Or(cmp.Compare(b.queueDelay(x, now), b.queueDelay(y, now)), cmp.Compare(x.inFlight, y.inFlight)) < 0
 }
--- a/policy/stream_test.go
+++ b/policy/stream_test.go
@@ -11,15 +11,15 @@
 	"testing"
 )
 
-// A stream drives one module on a virtual clock with a fleet of any size, drawn from a seed: requests, answers, failures, reports and
-// releases. It stands for what one proxy sees, and knows all that the module did.
+// stream drives one balancer on a virtual clock with a fleet of any size. Requests, answers, failures, reports and
+// releases are drawn from a seed. It stands for what one proxy sees, and keeps a digest of all actions of the balancer.
 type stream struct {
 	fleet  fleetState
-	rnd    *rand.Rand
+	random *rand.Rand
 	now    Time
-	due    streamEvents
+	events streamEvents
 	seq    int
-	module interface { // what the stream calls; a test may put its own in between
+	module interface { // the balancer; a test may wrap it
 		OpArrived(id uint32, key uint64, category, account int, write, again bool, left Time)
 		PushEnded(id uint32, n int, how Outcome, missed, terminal bool, taken Time)
 		Reported(id uint32, pace Time)
@@ -31,33 +31,33 @@
 	pushes  map[uint32]int
 	nextID  uint32
 	nextOp  uint32
-	acts    int
+	actions int
 	digest  interface {
 		Write([]byte) (int, error)
 		Sum64() uint64
 	}
-	still  bool                            // no tick is played any more
-	around func(kind string, event func()) // what surrounds each event
+	ticksStopped bool                            // the periodic tick is not played any more
+	aroundEvent  func(kind string, event func()) // wraps each event
 }
 
-// fleetState is what a stream's servers are like.
+// fleetState describes the servers of a stream.
 type fleetState struct {
-	name                string
-	servers             int
-	cold, draining, out float64 // shares of the servers
-	hot                 bool    // one key alone is asked for
-	zones               int     // servers by zones, with a price between them
-	ownZoneGone         bool    // after the first requests
-	failing             float64 // share of the servers that answer nothing
-	probing             bool
-	releases            bool // servers are replaced all the time
-	staysCold           bool // a slow start lasts for the whole stream
+	name                     string
+	servers                  int
+	cold, draining, excluded float64 // shares of the servers
+	hot                      bool    // all requests ask for one key
+	zones                    int     // number of zones; pushes between zones have a price
+	ownZoneGone              bool    // from the middle of the stream on
+	failing                  float64 // share of the servers that never answer
+	probing                  bool
+	releases                 bool // servers are replaced throughout
+	staysCold                bool // slow starts last for the whole stream
 }
 
 type streamEvent struct {
 	at  Time
 	seq int
-	do  func()
+	run func()
 }
 
 type streamEvents []streamEvent
@@ -81,8 +81,8 @@
 )
 
 func newStream(f fleetState, seed uint64) (*stream, *Balancer) {
-	s := &stream{fleet: f, rnd: rand.New(rand.NewPCG(seed, uint64(f.servers))), now: streamStart, pushes: map[uint32]int{}, digest: fnv.New64a()}
-	s.around = func(_ string, event func()) { event() }
+	s := &stream{fleet: f, random: rand.New(rand.NewPCG(seed, uint64(f.servers))), now: streamStart, pushes: map[uint32]int{}, digest: fnv.New64a()}
+	s.aroundEvent = func(_ string, event func()) { event() }
 	settings := Settings{
 		Categories: []Category{{Target: 1500, TTL: streamTTL, Benefit: 5}, {Target: 1500, TTL: streamTTL, Benefit: 1, Effect: Deduplicated, Window: 20000}},
 		Quotas:     []float64{1e6}, Proxies: streamProxies, Aside: true, OriginKind: 2, ColdFrom: 0.2, WarmUp: 100000, FallMultiple: 2,
@@ -100,73 +100,73 @@
 	s.entries = append(s.entries, Entry{ID: 1, Kind: 2, Weight: 1})
 	s.nextID = 1
 	for range f.servers {
-		s.entries = append(s.entries, s.server(Time(0)))
+		s.entries = append(s.entries, s.newServer(Time(0)))
 	}
-	s.list(ListCached, s.entries)
+	s.sendList(ListCached, s.entries)
 	return s, b
 }
 
-// server draws a server that started at a moment; a share of them are cold, drain, or are out.
-func (s *stream) server(start Time) Entry {
+// newServer draws a server with a given start time. Shares of the servers are cold, draining, or excluded.
+func (s *stream) newServer(start Time) Entry {
 	s.nextID++
-	e := Entry{ID: s.nextID*2654435761 + 7, Kind: s.rnd.IntN(2), Weight: 1, Start: start, Zone: int(s.nextID) % max(s.fleet.zones, 1)}
-	switch x := s.rnd.Float64(); {
+	e := Entry{ID: s.nextID*2654435761 + 7, Kind: s.random.IntN(2), Weight: 1, Start: start, Zone: int(s.nextID) % max(s.fleet.zones, 1)}
+	switch x := s.random.Float64(); {
 	case x < s.fleet.cold:
-		e.Start = s.now - Time(s.rnd.IntN(20000))
+		e.Start = s.now - Time(s.random.IntN(20000))
 	case x < s.fleet.cold+s.fleet.draining:
 		e.State = Draining
-	case x < s.fleet.cold+s.fleet.draining+s.fleet.out:
+	case x < s.fleet.cold+s.fleet.draining+s.fleet.excluded:
 		e.Excluded = true
 	}
 	return e
 }
 
-func (s *stream) list(kind ListKind, entries []Entry) {
-	s.around("list", func() { s.module.ListArrived(kind, entries) })
+func (s *stream) sendList(kind ListKind, entries []Entry) {
+	s.aroundEvent("list", func() { s.module.ListArrived(kind, entries) })
 }
 
-// release replaces a few servers by cold ones.
+// release replaces about one in twenty servers by cold ones.
 func (s *stream) release() {
 	var changed []Entry
 	for range max(len(s.entries)/20, 1) {
-		at := 1 + s.rnd.IntN(len(s.entries)-1)
+		at := 1 + s.random.IntN(len(s.entries)-1)
 		gone := s.entries[at]
 		gone.State = Gone
 		changed = append(changed, gone)
-		s.entries[at] = s.server(s.now)
+		s.entries[at] = s.newServer(s.now)
 		changed = append(changed, s.entries[at])
 	}
-	s.list(ListDelta, changed)
+	s.sendList(ListDelta, changed)
 }
 
-// loseOwnZone takes all servers of the proxy's own zone off the list.
+// loseOwnZone removes all servers of the proxy's own zone from the list.
 func (s *stream) loseOwnZone() {
-	var left []Entry
+	var remaining []Entry
 	for _, e := range s.entries {
 		if e.Kind == 2 || e.Zone != 0 {
-			left = append(left, e)
+			remaining = append(remaining, e)
 		}
 	}
-	s.entries = left
-	s.list(ListFull, left)
+	s.entries = remaining
+	s.sendList(ListFull, remaining)
 }
 
 func (s *stream) after(span Time, do func()) {
 	s.seq++
-	heap.Push(&s.due, streamEvent{s.now + max(span, 1), s.seq, do})
+	heap.Push(&s.events, streamEvent{s.now + max(span, 1), s.seq, do})
 }
 
-// run plays so many requests, one each gap.
-func (s *stream) run(requests int, gap Time) {
+// run plays a number of requests at a fixed interval.
+func (s *stream) run(requests int, interval Time) {
 	for range requests {
-		until := s.now + gap
-		for len(s.due) > 0 && s.due[0].at <= until {
-			e := heap.Pop(&s.due).(streamEvent)
+		until := s.now + interval
+		for len(s.events) > 0 && s.events[0].at <= until {
+			e := heap.Pop(&s.events).(streamEvent)
 			s.now = e.at
-			e.do()
+			e.run()
 		}
 		s.now = until
-		if s.fleet.releases && s.rnd.IntN(400) == 0 {
+		if s.fleet.releases && s.random.IntN(400) == 0 {
 			s.release()
 		}
 		s.request()
@@ -177,27 +177,27 @@
 	s.nextOp++
 	id, key := s.nextOp, uint64(12345)
 	if !s.fleet.hot {
-		key = s.rnd.Uint64()
-		if s.rnd.IntN(2) == 0 {
-			key = uint64(s.rnd.IntN(500)) + 1<<40
+		key = s.random.Uint64()
+		if s.random.IntN(2) == 0 {
+			key = uint64(s.random.IntN(500)) + 1<<40
 		}
 	}
-	category, again := s.rnd.IntN(2), s.rnd.IntN(10) == 0
-	s.around("request", func() { s.module.OpArrived(id, key, category, 0, false, again, streamTTL-Time(s.rnd.IntN(2000))) })
+	category, again := s.random.IntN(2), s.random.IntN(10) == 0
+	s.aroundEvent("request", func() { s.module.OpArrived(id, key, category, 0, false, again, streamTTL-Time(s.random.IntN(2000))) })
 }
 
-func (s *stream) note(format string, args ...any) {
-	s.acts++
+func (s *stream) recordAction(format string, args ...any) {
+	s.actions++
 	fmt.Fprintf(s.digest, format, args...)
 }
 
 func (s *stream) Now() Time { return s.now }
 func (s *stream) Push(op, cache uint32, until Time) {
-	s.note("push %d %d %d;", op, cache, until-s.now)
+	s.recordAction("push %d %d %d;", op, cache, until-s.now)
 	n := s.pushes[op]
 	s.pushes[op]++
-	how, taken, missed := Acked, Time(100+s.rnd.IntN(400)), false
-	switch x := s.rnd.Float64(); {
+	how, taken, missed := Acked, Time(100+s.random.IntN(400)), false
+	switch x := s.random.Float64(); {
 	case float64(cache%1000)/1000 < s.fleet.failing:
 		how, taken = TimedOut, max(until-s.now, 1)
 	case cache == 1:
@@ -214,42 +214,42 @@
 		if how != Acked && how != Miss {
 			kind = "failure"
 		}
-		s.around(kind, func() { s.module.PushEnded(op, n, how, missed, how == Acked, taken) })
-		s.around("report", func() { s.module.Reported(cache, Time(50+s.rnd.IntN(100))) })
+		s.aroundEvent(kind, func() { s.module.PushEnded(op, n, how, missed, how == Acked, taken) })
+		s.aroundEvent("report", func() { s.module.Reported(cache, Time(50+s.random.IntN(100))) })
 	})
 }
-func (s *stream) Cancel(op uint32, push int)     { s.note("cancel %d %d;", op, push) }
-func (s *stream) Nack(op uint32, comeBack Time)  { s.note("nack %d %d;", op, comeBack) }
-func (s *stream) DeadLetter(op uint32)           { s.note("dead %d;", op) }
+func (s *stream) Cancel(op uint32, push int)     { s.recordAction("cancel %d %d;", op, push) }
+func (s *stream) Nack(op uint32, comeBack Time)  { s.recordAction("nack %d %d;", op, comeBack) }
+func (s *stream) DeadLetter(op uint32)           { s.recordAction("dead %d;", op) }
 func (s *stream) Timer(token uint64, after Time) { s.after(after, func() { s.timer(token) }) }
 func (s *stream) timer(token uint64) {
 	kind := "timer"
-	if token == tokenTick {
+	if token == tickToken {
 		kind = "tick"
-		if s.still {
+		if s.ticksStopped {
 			return
 		}
 	}
-	s.around(kind, func() { s.module.TimerDue(token) })
+	s.aroundEvent(kind, func() { s.module.TimerDue(token) })
 }
 func (s *stream) Probe(cache uint32) {
-	s.note("probe %d;", cache)
-	s.after(Time(20+s.rnd.IntN(50)), func() {
-		s.around("probe", func() { s.module.Probed(cache, true, float64(s.rnd.IntN(4)), 100) })
+	s.recordAction("probe %d;", cache)
+	s.after(Time(20+s.random.IntN(50)), func() {
+		s.aroundEvent("probe", func() { s.module.Probed(cache, true, float64(s.random.IntN(4)), 100) })
 	})
 }
-func (s *stream) SendToPeers(news []byte)   {}
-func (s *stream) Watch(on bool)      {}
-func (s *stream) CloseIdle(cache uint32) { s.note("close %d;", cache) }
-func (s *stream) Log(text string)    {}
+func (s *stream) SendToPeers(news []byte) {}
+func (s *stream) Watch(on bool)           {}
+func (s *stream) CloseIdle(cache uint32)  { s.recordAction("close %d;", cache) }
+func (s *stream) Log(text string)         {}
 
-// fleetStates are the states that a fleet of any size is tried in.
+// fleetStates are the states in which a fleet of a given size is tested.
 func fleetStates(servers int) []fleetState {
 	return []fleetState{
 		{name: "warm", servers: servers},
 		{name: "slow start", servers: servers, cold: 0.9},
 		{name: "release", servers: servers, cold: 0.3, draining: 0.3, releases: true},
-		{name: "out", servers: servers, out: 0.95},
+		{name: "out", servers: servers, excluded: 0.95},
 		{name: "hot key", servers: servers, hot: true},
 		{name: "hot key, slow start", servers: servers, hot: true, cold: 0.9},
 		{name: "failing", servers: servers, failing: 0.2},
@@ -259,8 +259,10 @@
 	}
 }
 
-// Decisions of recorded streams at up to 200 servers are those of before the walks over all servers went. A stream that differs
-// by intention is recorded anew with MINTTRAY_RECORD=1, and the commit names it with its figures on the simulator.
+// Guards against unintended changes of decisions: each stream must give the recorded actions. The recordings of up to
+// 200 servers were made when requests still visited all servers, so they also prove that bounding the visits changed no
+// decision. A stream that differs on purpose is recorded anew with MINTTRAY_RECORD=1, and the commit names it with its
+// results on the simulator.
 func TestDecisionsOfRecordedStreams(t *testing.T) {
 	path := filepath.Join("testdata", "streams.golden")
 	var got strings.Builder
@@ -272,7 +274,7 @@
 				s.loseOwnZone()
 			}
 			s.run(1500, 40)
-			fmt.Fprintf(&got, "%d %s: %d actions, %016x\n", servers, f.name, s.acts, s.digest.Sum64())
+			fmt.Fprintf(&got, "%d %s: %d actions, %016x\n", servers, f.name, s.actions, s.digest.Sum64())
 		}
 	}
 	if os.Getenv("MINTTRAY_RECORD") != "" {
@@ -285,10 +287,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want, have := strings.Split(string(text), "\n"), strings.Split(got.String(), "\n")
-	for i := range max(len(want), len(have)) {
-		if i >= len(want) || i >= len(have) || want[i] != have[i] {
-			t.Errorf("stream %d: recorded %q, now %q", i, want[min(i, len(want)-1)], have[min(i, len(have)-1)])
+	recorded, replayed := strings.Split(string(text), "\n"), strings.Split(got.String(), "\n")
+	for i := range max(len(recorded), len(replayed)) {
+		if i >= len(recorded) || i >= len(replayed) || recorded[i] != replayed[i] {
+			t.Errorf("stream %d: recorded %q, now %q", i, recorded[min(i, len(recorded)-1)], replayed[min(i, len(replayed)-1)])
 		}
 	}
 }
--- a/policy/tick.go
+++ b/policy/tick.go
@@ -2,94 +2,104 @@
 
 import "math"
 
+// TimerDue takes the token of a timer that has run out. Timers can't be cancelled, so an outdated one has no effect.
+func (b *Balancer) TimerDue(token uint64) {
+	c, o := b.caches.Get(uint32(token-probeTokenBase)), b.ops[uint32(token-opTokenBase)]
+	if token == tickToken {
+		b.tick()
+	} else if token == listToken {
+		b.host.Watch(true)
+	} else if token >= probeTokenBase && c != nil && c.probeInFlight {
+		b.Probed(c.ID, false, 0, 0)
+	} else if token < probeTokenBase && o != nil && !o.finished && len(o.inFlight) == 0 && b.host.Now() >= o.pushDeadline {
+		b.giveUp(o, DeadlinePassed)
+	}
+}
+
+// tick does the periodic work, every four ticks of the settings.
 func (b *Balancer) tick() {
 	now := b.host.Now()
-	b.host.Timer(tokenTick, 4*b.Tick)
+	b.host.Timer(tickToken, 4*b.Tick)
 	for _, t := range b.tenants {
-		t.tokens = min(t.tokens+t.rate*float64(4*b.Tick)/10000, max(2*t.rate, leastTokens))
+		t.tokens = min(t.tokens+t.rate*float64(4*b.Tick)/10000, max(2*t.rate, minTokenBurst))
 	}
-	if now >= b.rolled+b.TipAfter/(quarters-1) {
-		b.roll(now)
+	if now >= b.lastQuarterAt+b.TipAfter/(windowQuarters-1) {
+		b.advanceWindow(now)
 	}
-	// Old evidence fades with time as well: a proxy that pushes little would else never hear that it is wrong.
-	fade := float64(4*b.Tick) / float64(4*b.target)
-	// Danger: hundreds of proxies fill the caches' tables with connections that mostly end unused all the same.
-	idle := b.HandshakePrice / b.ConnPrice * 100 / float64(b.Proxies)    // in usual spans between pushes there
-	idle *= min(math.Floor(2*idle), 1) * float64(b.ranked.Len()) * b.gap // none, if they end before half of one
+	// Old evidence decays with time as well: a proxy that pushes little would otherwise never notice that it is wrong.
+	fade := float64(4*b.Tick) / float64(4*b.targetLatency)
+	// Hundreds of proxies would fill the caches' tables with connections that mostly end unused. A connection is worth
+	// keeping for this many usual intervals between pushes to a cache, or not at all if it ends before half of one.
+	idle := b.HandshakePrice / b.ConnPrice * 100 / float64(b.Proxies)
+	idle *= min(math.Floor(2*idle), 1) * float64(b.ranked.Len()) * b.pushInterval
 	b.Counts.ListedCaches = b.ranked.Len()
-	b.lookAfter(now, fade, idle)
-	if now > b.failed+4*b.target {
-		b.strain -= b.strain * fade
+	b.maintainCaches(now, fade, idle)
+	if now > b.lastOverloadAt+4*b.targetLatency {
+		b.overload -= b.overload * fade
 	}
-	b.giveBack(b.origin, now, fade)
-	b.giveBack(b.shadow, now, fade)
-	if b.reseat {
-		b.seat() // which makes the sums anew as well
+	b.recoverLimit(b.origin, now, fade)
+	b.recoverLimit(b.originFetches, now, fade)
+	if b.bucketsStale {
+		b.assignBuckets() // also recomputes the sums
 	} else if b.staleSums {
 		b.resetSums()
 	}
-	b.pump()
+	b.drainOriginQueue()
 }
 
-// lookAfter lets evidence against caches fade, and closes connections that no push has used for a while. Of many caches each tick looks at some,
-// and counts for each by as many ticks as there are until it comes to that one again.
-func (b *Balancer) lookAfter(now Time, fade, idle float64) {
-	n := b.ranked.Len()
-	turns := max((n+mostLooks-1)/mostLooks, 1)
-	from := n * (b.tickTurn % turns) / turns
-	to := n * (b.tickTurn%turns + 1) / turns
-	if b.tickTurn++; from == 0 {
-		b.avoided = 0
+// maintainCaches lets evidence against caches decay, and closes connections that no push has used for a while. In a
+// large fleet each tick visits one batch of the caches, and counts for as many ticks as pass until the next visit.
+func (b *Balancer) maintainCaches(now Time, fade, idle float64) {
+	count := b.ranked.Len()
+	batches := max((count+maxCachesVisited-1)/maxCachesVisited, 1)
+	from := count * (b.tickBatch % batches) / batches
+	to := count * (b.tickBatch%batches + 1) / batches
+	if b.tickBatch++; from == 0 {
+		b.excludedCount = 0
 	}
-	fade *= float64(turns)
+	fade *= float64(batches)
 	for i := from; i < to; i++ {
 		c := b.ranked.At(i)
-		if c.shun -= c.shun * min(fade, 1); c.Excluded || now < c.restUntil {
-			b.avoided++
+		if c.peerSuspicion -= c.peerSuspicion * min(fade, 1); c.Excluded || now < c.suspendedUntil {
+			b.excludedCount++
 		}
-		if c.open && c.out == 0 && float64(now-c.sentAt) > idle { // without prices idle is no number, and nothing is closed
-			c.open = false
+		if c.hasConnections && c.inFlight == 0 && float64(now-c.lastPushAt) > idle { // without prices idle is NaN, and nothing is closed
+			c.hasConnections = false
 			b.host.CloseIdle(c.ID)
 		}
-		b.giveBack(c, now, fade)
+		b.recoverLimit(c, now, fade)
 	}
-	if to == n {
-		b.Counts.ExcludedCaches = b.avoided
-	}
-}
-
-// giveBack gives a limit below one push back with time.
-func (b *Balancer) giveBack(c *cache, now Time, fade float64) {
-	if c != nil && c.Limit < 1 && now > c.cutAt+4*b.target {
-		c.Limit = min(c.Limit*(1+fade), 1)
+	if to == count {
+		b.Counts.ExcludedCaches = b.excludedCount
 	}
 }
 
-// roll lets a quarter of the cold window pass; no map's order matters here.
-func (b *Balancer) roll(now Time) {
-	if b.rolled = now; b.Peers && len(b.news) > 0 {
-		b.host.SendToPeers(b.news)
-		b.news = nil
+// advanceWindow begins the next quarter of the slow-start window. The result does not depend on map order.
+func (b *Balancer) advanceWindow(now Time) {
+	if b.lastQuarterAt = now; b.Peers && len(b.peerMessage) > 0 {
+		b.host.SendToPeers(b.peerMessage)
+		b.peerMessage = nil
 	}
-	if b.turn%quarters == 0 {
-		b.windowDraw = b.rnd.Float64()
+	if b.quarterCount%windowQuarters == 0 {
+		b.slowStartDraw = b.random.Float64()
 	}
-	if b.turn++; b.shadow != nil && b.turn%(2*quarters) == 0 {
-		b.kept.Rotate()
+	if b.quarterCount++; b.originFetches != nil && b.quarterCount%(2*windowQuarters) == 0 {
+		b.keptKeys.Rotate()
 	}
 	for id, c := range b.caches.All() {
-		if !c.listed && !c.asking && c.out == 0 && c.Sent.Sum() == 0 {
-			b.caches.Delete(id) // ids are ever new: kept for good, they would fill the memory
+		if !c.listed && !c.probeInFlight && c.inFlight == 0 && c.Sent.Sum() == 0 {
+			b.caches.Delete(id) // ids are never reused: without this they would fill the memory
 		}
 		c.Roll(0.8)
-		c.span.Decay(0.5)
-		c.by.Decay(0.8)
+		c.latencies.Decay(0.5)
+		c.byCategory.Decay(0.8)
 	}
-	for _, z := range b.zones { // a way that stays slow is its way
-		z.AdjustBaseline()
+	for _, zone := range b.zoneLatencies { // a latency that lasts becomes the usual one
+		zone.AdjustBaseline()
 	}
-	b.all.span.Decay(0.8)
-	b.all.by.Decay(0.8)
-	b.waited, b.silent = b.waited*0.8, b.silent*0.8
+	b.fleetTotal.latencies.Decay(0.8)
+	b.fleetTotal.byCategory.Decay(0.8)
+	b.fullWaits *= 0.8
+	b.fullWaitsUnanswered *= 0.8
 	b.staleSums = true
 }
--- a/policy/types.go
+++ b/policy/types.go
@@ -1,16 +1,18 @@
 package policy
 
-// Time is a clock reading or a span in whole tenths of a millisecond.
+// Time is a clock reading or a duration in tenths of a millisecond.
 type Time int64
 
+// Effect says what running an op more than once does.
 type Effect uint8
 
 const (
-	Redeliverable Effect = iota // may run again
-	Deduplicated                // repeats are dropped by its group, for its window
+	Redeliverable Effect = iota // may run any number of times
+	Deduplicated                // repeats are dropped within the category's Group and Window
 	AtMostOnce                  // must never run twice
 )
 
+// Group is the set of caches that recognize repeats of a deduplicated op.
 type Group uint8
 
 const (
@@ -19,34 +21,37 @@
 	GroupCell
 )
 
+// Outcome is how a push ended.
 type Outcome uint8
 
 const (
 	Acked Outcome = iota
 	Errored
-	Rejected // turned away unseen
+	Rejected // turned away by the cache before it ran
 	TimedOut
 	ConnectFailed
 	ConnectionLost
 	Cancelled
-	NotSent // never sent
-	Miss // nothing is stored there under the key
+	NotSent
+	Miss // nothing is stored at the cache under the key
 )
 
-// NotExecuted tells whether the outcome proves that the push had no effect.
+// NotExecuted reports whether the outcome proves that the push had no effect.
 func (o Outcome) NotExecuted() bool {
 	return o == Rejected || o == ConnectFailed || o == NotSent || o == Miss
 }
 
+// ListKind says what a cache list holds.
 type ListKind uint8
 
 const (
-	ListFull ListKind = iota
-	ListDelta
-	ListCached
-	ListFailed
+	ListFull   ListKind = iota // all caches
+	ListDelta                  // changed caches only
+	ListCached                 // all caches, as stored by an earlier process
+	ListFailed                 // nothing: the call to the list service failed
 )
 
+// State is the lifecycle state of a cache in the list.
 type State uint8
 
 const (
@@ -55,103 +60,60 @@
 	Gone
 )
 
-// Entry is one line of the cache list.
+// Entry is one cache in the cache list.
 type Entry struct {
-	ID         uint32
-	Zone, Kind int
-	Cell       int
-	State      State
-	Weight     float64 // above 0
-	Start      Time    // 0: long ago
-	Excluded        bool    // by an operator's word; whoever returns from that is cold
+	ID       uint32
+	Zone     int
+	Kind     int // kind of machine
+	Cell     int
+	State    State
+	Weight   float64 // above 0
+	Start    Time    // when the process started; 0: long ago
+	Excluded bool    // by an operator; treated as cold once it is included again
 }
 
+// Category holds the rules for one kind of op.
 type Category struct {
-	Effect      Effect
-	Group       Group
-	Window      Time
-	Target, TTL Time
-	Benefit     float64
-	Tardy       float64 // share of the benefit that a late answer keeps
-	Dropped     bool    // no longer asked for, since the settings were read anew
+	Effect  Effect
+	Group   Group
+	Window  Time    // during which repeats are dropped
+	Target  Time    // latency up to which an answer has its full benefit
+	TTL     Time    // how long clients wait for an op, all tries included
+	Benefit float64 // of an answer in time
+	Tardy   float64 // share of the benefit that a late answer keeps, 0 to 1
+	Dropped bool    // no longer in use since the settings were reloaded
 }
 
-// Settings holds what the module reads of a deployment's figures.
+// Settings holds the settings of a deployment that the balancer reads.
 type Settings struct {
 	Categories     []Category
-	Quotas         []float64 // ops a second inside each tenant's share, over all proxies
-	BeyondBenefit  float64   // share of its benefit that an op beyond its tenant's share keeps
-	Proxies        int
-	Index          int // this proxy's number, from 0
-	AskList        bool
-	AskEvery       Time
-	Aside          bool
-	OriginKind     int // -1: none is listed
-	ColdFrom       float64
-	WarmUp         Time
-	FallMultiple   float64
-	TipAfter       Time
-	Tick           Time
-	MaxRetryAfter  Time // 0: clients take no advice
-	MostPushes     int
-	Cancelling     bool
-	MarksRetry     bool // clients mark tries that come again
-	Peers          bool
-	ConnPrice      float64 // of 100 open connections to each cache
-	HandshakePrice float64 // of one new connection an op
-	CrossPrice     float64 // of one push an op to another zone
-	Zone, Zones    int     // this proxy's, and how many there are
-	ProbePrice     float64 // of one probe an op
-	PeerPrice      float64 // of one full message an op, to one peer
-	NinesPart      float64 // weight of the nines: tenfold steps that the unserved share lies below the whole
-	FullAtNines    float64 // so many of them are all that counts
-	RoughWeights   bool    // weights are about the size of a cache, and need not say what it can do
-	Probing        bool    // caches tell what waits there, and only when probed
-}
-
-// GiveUpReason is the reason for which an op was given up.
-type GiveUpReason uint8
-
-const (
-	NoChance     GiveUpReason = iota // hardly any answer comes within its wait
-	PastBudget              // a try that came again, past its tenant's budget under strain
-	NoCache                 // none is listed, allowed and ready
-	NoRoom                  // the learned limit of its cache is full
-	OriginShort             // the queue for the origin would take too long, or a fetch has no room there
-	TooLate                 // its time was up before a push could be made
-	NoMorePushes            // its pushes are used up, or another would not be safe
-	FleetShort              // the fleet is short as a whole: no push would help
-	Ending                  // the process ends, and hands back what is open
-	reasons
-)
-
-var whyNames = [reasons]string{"no_chance", "past_budget", "no_cache", "no_room", "origin_short", "too_late",
-	"no_more_pushes", "fleet_short", "ending"}
-
-func (w GiveUpReason) String() string { return whyNames[w] }
-
-// Counts is what the module has judged since its start.
-type Counts struct {
-	InconclusiveTimeouts   int // time-outs that prove little: most answers take longer, or this one got lost
-	RetriesOverBudget int // tries that came again past their tenant's budget
-	DeadlineTooShort   int // ops nacked at once, as hardly any answer comes within their wait
-	ShortenedPushes   int // pushes given up early, for another cache
-	ListedCaches     int // caches in the list, now
-	ExcludedCaches    int // and those of them that are out by an operator's word, or rest
-	GivenUp     [reasons]int
-}
-
-// Host is how the module acts. Calls take effect in the order made.
-type Host interface {
-	Now() Time
-	Push(op, cache uint32, until Time)
-	Cancel(op uint32, push int)
-	Nack(op uint32, comeBack Time)
-	DeadLetter(op uint32)
-	Timer(token uint64, after Time)
-	Probe(cache uint32)
-	SendToPeers(news []byte) // to all peers, 256 bytes at most
-	Watch(on bool)
-	CloseIdle(cache uint32) // idle connections to it
-	Log(text string)
+	Quotas         []float64 // by tenant: ops a second within its quota, over all proxies
+	BeyondBenefit  float64   // share of its benefit that an op beyond its tenant's quota keeps, 0 to 1
+	Proxies        int       // number of proxies
+	Index          int       // number of this proxy, from 0
+	AskList        bool      // call the list service
+	AskEvery       Time      // interval between calls of all proxies to the list service
+	Aside          bool      // cache-aside: a miss is answered by a push to the origin
+	OriginKind     int       // kind of machine that marks the origin in the list; -1: no origin is listed
+	ColdFrom       float64   // share of its capacity that a cache has at its start, 0 to 1
+	WarmUp         Time      // time from a cache's start until it has its full capacity
+	FallMultiple   float64   // a cold cache fails at this multiple of its capacity, kept up for TipAfter
+	TipAfter       Time      // window over which pushes to a cold cache are counted
+	Tick           Time      // resolution of timers
+	MaxRetryAfter  Time      // longest advised delay of a retry; 0: clients take no advice
+	MostPushes     int       // pushes that one op may have
+	Cancelling     bool      // pushes can be cancelled
+	MarksRetry     bool      // clients mark retries
+	Peers          bool      // proxies send each other messages
+	ConnPrice      float64   // price of 100 open connections to each cache
+	HandshakePrice float64   // price of one new connection an op
+	CrossPrice     float64   // price of one push an op to another zone
+	Zone           int       // zone of this proxy
+	Zones          int       // number of zones
+	ProbePrice     float64   // price of one probe an op
+	PeerPrice      float64   // price of one full message an op, to one peer
+	NinesPart      float64   // weight of the nines of availability: how many factors of ten the unserved share lies below 1
+	FullAtNines    float64   // number of nines that earns full credit
+	RoughWeights   bool      // weights give about the size of a cache, not its measured capacity
+	Probing        bool      // caches report their queue only when probed
 }
