--- a/internal/deadline/deadline.go
+++ b/internal/deadline/deadline.go
@@ -30,7 +30,7 @@
 type Transfer uint8
 
 const (
-	SingleWrite  Transfer = iota // in one write
+	SingleWrite    Transfer = iota // in one write
 	MultipleWrites                 // a long value, in many writes
 )
 
@@ -39,12 +39,12 @@
 // a share of what is left, so that it fits deadlines of any length; operators tolerate 150 ms more, which stay for a process that is itself
 // held up between its clock and its write.
 const (
-	heldMargin  = 16 // one part in so many, of what is left
-	partsMargin = 4
+	singleWriteMargin   = 16 // one part in so many, of what is left
+	multipleWriteMargin = 4
 )
 
-// least is the shortest deadline that can be passed: it travels in whole milliseconds.
-const least = time.Millisecond
+// minDeadline is the shortest deadline that can be passed: it travels in whole milliseconds.
+const minDeadline = time.Millisecond
 
 // ErrNoTime means that so little is left that no deadline can be passed: the attempt must not be written.
 var ErrNoTime = errors.New("no time is left for an attempt")
@@ -58,12 +58,12 @@
 // ForAttempt computes what an attempt passes that is written now, and whose answer the proxy waits for until a moment of its own.
 func (d Deadline) ForAttempt(now, until time.Time, how Transfer) (AttemptDeadline, error) {
 	left := d.Remaining(now)
-	margin := left / heldMargin
+	margin := left / singleWriteMargin
 	if how == MultipleWrites {
-		margin = left / partsMargin
+		margin = left / multipleWriteMargin
 	}
 	wait := min(left-margin, until.Sub(now))
-	if wait < least {
+	if wait < minDeadline {
 		return AttemptDeadline{}, ErrNoTime
 	}
 	wait = wait.Truncate(time.Millisecond)
--- a/internal/deadline/deadline_test.go
+++ b/internal/deadline/deadline_test.go
@@ -53,16 +53,16 @@
 		d, now := After(start, wait), start.Add(waited)
 		passed, err := d.ForAttempt(now, now.Add(until), how)
 		left := d.Remaining(now)
-		share := map[Transfer]time.Duration{SingleWrite: heldMargin, MultipleWrites: partsMargin}[how]
+		share := map[Transfer]time.Duration{SingleWrite: singleWriteMargin, MultipleWrites: multipleWriteMargin}[how]
 		most := min(left-left/share, until)
 		if err != nil {
-			if most >= least {
+			if most >= minDeadline {
 				t.Fatalf("%v, though %v could be passed", err, most)
 			}
 			return
 		}
 		told := time.Duration(passed.milliseconds) * time.Millisecond
-		if told < least || told > most || told <= most-time.Millisecond {
+		if told < minDeadline || told > most || told <= most-time.Millisecond {
 			t.Fatalf("%v is passed, %v could be", told, most)
 		}
 		if by := passed.WriteBy(); told > d.Remaining(by) || by.Before(now) {
--- a/internal/engine/deadline_test.go
+++ b/internal/engine/deadline_test.go
@@ -9,22 +9,22 @@
 	"minttray/policy"
 )
 
-// passing is a server that hands each attempt's request to the test.
-type passing struct{ requests chan *Request }
+// requestCapture is a server that hands each attempt's request to the test.
+type requestCapture struct{ requests chan *Request }
 
-func (p passing) Push(r *Request, _ time.Time, _ func(Result)) func(AbortCondition) bool {
+func (p requestCapture) Push(r *Request, _ time.Time, _ func(Result)) func(AbortCondition) bool {
 	p.requests <- r
 	return func(AbortCondition) bool { return true }
 }
-func (passing) Release() {}
-func (passing) Retire()  {}
+func (requestCapture) Release() {}
+func (requestCapture) Retire()  {}
 
 // What an attempt may pass is bounded by the TTL of the request's category as well, by the settings as it came.
 func TestADeadlineIsNoLaterThanTheCategorysTTL(t *testing.T) {
 	const ttl = 2 * time.Second
-	servers := passing{make(chan *Request, 9)}
-	e, s := play(t, func(o *Options) {
-		o.Settings.Categories[0].TTL = policy.Time(ttl / unit)
+	servers := requestCapture{make(chan *Request, 9)}
+	e, s := startEngine(t, func(o *Options) {
+		o.Settings.Categories[0].TTL = policy.Time(ttl / timeUnit)
 		o.Connect = func(Member) Server { return servers }
 	})
 	for id, c := range map[string]struct{ wait, want time.Duration }{"longer": {time.Minute, ttl}, "shorter": {time.Second, time.Second}} {
@@ -44,7 +44,7 @@
 func TestAnEngineThatRestsBeats(t *testing.T) {
 	const rest = 500 * time.Millisecond
 	beat := pulse.New(time.Now())
-	play(t, func(o *Options) { o.StallMonitor, o.Settings.Tick = beat, policy.Time(time.Hour/unit) })
+	startEngine(t, func(o *Options) { o.StallMonitor, o.Settings.Tick = beat, policy.Time(time.Hour/timeUnit) })
 	time.Sleep(rest) // and what may have stalled ahead of the first beat is over
 	beats := 0
 	for begun := time.Now(); time.Since(begun) < rest; time.Sleep(time.Millisecond) {
--- a/internal/engine/endings_test.go
+++ b/internal/engine/endings_test.go
@@ -9,8 +9,8 @@
 	"minttray/policy"
 )
 
-// lines counts what the stage has met that begins so.
-func (s *stage) lines(start string) (n int) {
+// countLines counts what the stage has met that begins so.
+func (s *recorder) countLines(start string) (n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, line := range s.log {
@@ -21,7 +21,7 @@
 	return n
 }
 
-func (s *stage) line(at int) string {
+func (s *recorder) line(at int) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.log[at]
@@ -30,9 +30,9 @@
 // opEnds are the ways in which an op ends while a push for it is out.
 var opEnds = map[string]func(e *Engine, o *Op){
 	"its client has left":  func(e *Engine, o *Op) { e.Abandon(o) },
-	"the process ends":     func(e *Engine, o *Op) { e.AnswerAllOpen(patience) },
-	"its time is long up":  func(e *Engine, o *Op) { e.Do(func(e *Engine) { e.expire(o.held) }) },
-	"it was answered late": func(e *Engine, o *Op) { e.Do(func(e *Engine) { e.Nack(o.held.id, 0) }) },
+	"the process ends":     func(e *Engine, o *Op) { e.AnswerAllOpen(eventTimeout) },
+	"its time is long up":  func(e *Engine, o *Op) { e.Do(func(e *Engine) { e.expire(o.record) }) },
+	"it was answered late": func(e *Engine, o *Op) { e.Do(func(e *Engine) { e.Nack(o.record.id, 0) }) },
 }
 
 // Danger: where servers take no cancelling, a push that still dials as its op ends is written after the op's answer, or for a
@@ -42,14 +42,14 @@
 		for _, cancelling := range []bool{false, true} {
 			for category := range 3 { // an at-most-once op as well
 				t.Run(fmt.Sprint(name, cancelling, category), func(t *testing.T) {
-					e, s := play(t, func(o *Options) { o.Settings.Cancelling = cancelling })
-					s.unwritten = true
+					e, s := startEngine(t, func(o *Options) { o.Settings.Cancelling = cancelling })
+					s.pushesUnwritten = true
 					o := s.op("a", category)
 					e.Submit(o)
 					s.await(0, "push cache")
 					end(e, o)
 					s.await(0, "taken back cache")
-					if c := settled(e); c.Withdrawn != 1 || c.Pushes[policy.NotSent] != 1 || e.ops.Load() != 0 || s.lines("push") != 1 {
+					if c := drainQueue(e); c.Withdrawn != 1 || c.Pushes[policy.NotSent] != 1 || e.opCount.Load() != 0 || s.countLines("push") != 1 {
 						t.Errorf("%+v", c)
 					}
 				})
@@ -64,14 +64,14 @@
 	for name, end := range opEnds {
 		for category := range 3 {
 			t.Run(fmt.Sprint(name, category), func(t *testing.T) {
-				e, s := play(t, func(o *Options) { o.Settings.Cancelling = false })
-				s.unsent = true
+				e, s := startEngine(t, func(o *Options) { o.Settings.Cancelling = false })
+				s.pushesUnsent = true
 				o := s.op("a", category)
 				e.Submit(o)
 				s.await(0, "push cache")
 				end(e, o)
 				s.await(0, "thrown away cache")
-				if c := settled(e); c.Withdrawn != 0 || c.Pushes[policy.Cancelled] != 1 || e.ops.Load() != 0 || s.lines("push") != 1 {
+				if c := drainQueue(e); c.Withdrawn != 0 || c.Pushes[policy.Cancelled] != 1 || e.opCount.Load() != 0 || s.countLines("push") != 1 {
 					t.Errorf("%+v", c)
 				}
 			})
@@ -81,16 +81,16 @@
 
 // What was written runs on under its rule: it is not given up where servers take no cancelling.
 func TestWhatIsWrittenRunsOn(t *testing.T) {
-	e, s := play(t, func(o *Options) { o.Settings.Cancelling = false })
+	e, s := startEngine(t, func(o *Options) { o.Settings.Cancelling = false })
 	o := s.op("a", 2)
 	e.Submit(o)
 	at := s.await(0, "push cache")
 	e.Abandon(o)
-	if c := settled(e); c.Withdrawn != 0 || s.lines("given up") != 0 || e.ops.Load() != 1 {
+	if c := drainQueue(e); c.Withdrawn != 0 || s.countLines("given up") != 0 || e.opCount.Load() != 1 {
 		t.Errorf("%+v", c)
 	}
 	s.answer(at, Result{Outcome: policy.Acked, Value: []byte("v")})
-	if c := settled(e); c.Acked != 0 || e.ops.Load() != 0 || s.lines("acked") != 0 {
+	if c := drainQueue(e); c.Acked != 0 || e.opCount.Load() != 0 || s.countLines("acked") != 0 {
 		t.Errorf("%+v", c)
 	}
 }
@@ -104,7 +104,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			const many = 300
-			e, s := begin(t, func(o *Options) { o.MaxOps = 2 * many })
+			e, s := newTestEngine(t, func(o *Options) { o.MaxOps = 2 * many })
 			over := 0
 			for i := range many {
 				o := s.op(fmt.Sprint("op", i), i%3)
@@ -113,11 +113,11 @@
 			}
 			stop, ended := make(chan struct{}), make(chan struct{})
 			go func() { e.Run(stop); close(ended) }() // it comes to all of them only now
-			c := settled(e)
+			c := drainQueue(e)
 			close(stop)
 			<-ended
-			if c.Left != many || c.Sent != 0 || over != many || e.ops.Load() != 0 || e.bytes.Load() != 0 || s.lines("push") != 0 {
-				t.Errorf("%d over, %d held: %+v", over, e.ops.Load(), c)
+			if c.ClientsLeft != many || c.Sent != 0 || over != many || e.opCount.Load() != 0 || e.byteCount.Load() != 0 || s.countLines("push") != 0 {
+				t.Errorf("%d over, %d held: %+v", over, e.opCount.Load(), c)
 			}
 		})
 	}
@@ -125,7 +125,7 @@
 
 // Danger: between an op's arrival and its push its client may leave; the word of that stands in the queue still.
 func TestAPushForAClientThatHasJustLeft(t *testing.T) {
-	e, s := play(t, nil)
+	e, s := startEngine(t, nil)
 	o := s.op("a", 0)
 	e.Submit(o)
 	at := s.await(0, "push cache")
@@ -135,7 +135,7 @@
 	s.answer(at, Result{Outcome: policy.Rejected}) // another cache would be asked
 	e.Abandon(o)
 	close(held)
-	if c := settled(e); c.Left+c.Nacked != 1 || c.Sent != 1 || s.lines("push") != 1 || e.ops.Load() != 0 {
+	if c := drainQueue(e); c.ClientsLeft+c.Nacked != 1 || c.Sent != 1 || s.countLines("push") != 1 || e.opCount.Load() != 0 {
 		t.Errorf("%+v", c)
 	}
 }
@@ -171,7 +171,7 @@
 	} {
 		for _, probing := range []bool{false, true} { // a probe is something new as well
 			t.Run(fmt.Sprint(name, probing), func(t *testing.T) {
-				e, s := play(t, func(o *Options) { o.Settings.Probing = probing })
+				e, s := startEngine(t, func(o *Options) { o.Settings.Probing = probing })
 				e.Submit(s.op("a", 0))
 				pushed := s.await(0, "push cache")
 				first, other := uint32(1), uint32(2)
@@ -179,7 +179,7 @@
 					first, other = 2, 1
 				}
 				s.mu.Lock()
-				s.unwritten = true
+				s.pushesUnwritten = true
 				s.mu.Unlock()
 				e.UpdateList(list.kind, list.members(first, other))
 				back := s.await(pushed, "taken back "+strings.TrimPrefix(s.line(pushed), "push "))
@@ -202,15 +202,15 @@
 // What has begun by then is waited for; what has not is never done.
 func TestACallIsDoneOrNotDone(t *testing.T) {
 	const span = 20 * time.Millisecond
-	e, _ := play(t, nil)
+	e, _ := startEngine(t, nil)
 	begun, hold := make(chan bool), make(chan bool)
 	said := make(chan error, 1)
 	go func() {
-		said <- e.ahead(span, func() error { close(begun); <-hold; return nil })
+		said <- e.runCall(span, func() error { close(begun); <-hold; return nil })
 	}()
 	<-begun
 	ran := make(chan bool, 1)
-	if err := e.ahead(10*span, func() error { ran <- true; return nil }); err != ErrBusy { // the engine stands in the first
+	if err := e.runCall(10*span, func() error { ran <- true; return nil }); err != ErrBusy { // the engine stands in the first
 		t.Errorf("%v, though nothing was done", err)
 	}
 	early := len(said) > 0 // by now the first is far past its time, ten times over
@@ -218,7 +218,7 @@
 	if err := <-said; err != nil || early {
 		t.Errorf("told %v, early %v, and it is done", err, early)
 	}
-	settled(e)
+	drainQueue(e)
 	if len(ran) > 0 {
 		t.Error("done after a no")
 	}
@@ -226,14 +226,14 @@
 
 // What is written stays: a drain is no cancelling.
 func TestADrainLeavesWhatIsWritten(t *testing.T) {
-	e, s := play(t, nil)
+	e, s := startEngine(t, nil)
 	e.Submit(s.op("a", 2))
 	at := s.await(0, "push cache")
 	e.UpdateList(policy.ListDelta, []Member{member(1, policy.Draining), member(2, policy.Draining)})
-	settled(e)
+	drainQueue(e)
 	s.answer(at, Result{Outcome: policy.Acked, Value: []byte("v")})
 	s.await(at, "acked a v")
-	if s.lines("push") != 1 || s.lines("taken back") != 0 {
+	if s.countLines("push") != 1 || s.countLines("taken back") != 0 {
 		t.Error(s.log)
 	}
 }
@@ -252,23 +252,23 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			e, s := play(t, func(o *Options) {
+			e, s := startEngine(t, func(o *Options) {
 				o.Settings.Cancelling = false
 				o.Settings.Categories[2] = policy.Category{Effect: c.effect, Window: 5000, Target: 15000, TTL: 20000, Benefit: 1}
 			})
 			e.Submit(s.op("a", 2))
 			at := s.await(0, "push cache")
 			s.mu.Lock()
-			s.unwritten = true // from here on: the repeat's connection does not come up
+			s.pushesUnwritten = true // from here on: the repeat's connection does not come up
 			s.mu.Unlock()
 			s.answer(at, c.first)
 			again := s.await(at+1, "push cache")
 			s.await(again, "taken back cache", "given up cache") // its window is over, or its time
 			s.await(again, "dead-lettered a", "nacked a")
-			if got := settled(e); (got.Withdrawn > 0) != c.taken {
+			if got := drainQueue(e); (got.Withdrawn > 0) != c.taken {
 				t.Errorf("%+v", got)
 			}
-			if n := s.lines("push cache"); n != 2 && c.taken {
+			if n := s.countLines("push cache"); n != 2 && c.taken {
 				t.Errorf("%d pushes", n)
 			}
 		})
@@ -281,11 +281,11 @@
 	for _, unsent := range []bool{true, false} {
 		t.Run(fmt.Sprint(unsent), func(t *testing.T) {
 			t.Parallel()
-			e, s := play(t, func(o *Options) {
+			e, s := startEngine(t, func(o *Options) {
 				o.Settings.Cancelling = false
 				o.Settings.Categories[2] = policy.Category{Effect: policy.Deduplicated, Window: 5000, Target: 15000, TTL: 20000, Benefit: 1}
 			})
-			s.unsent = unsent
+			s.pushesUnsent = unsent
 			e.Submit(s.op("a", 2))
 			at := s.await(0, "push cache")
 			s.answer(at, Result{Outcome: policy.Errored})
@@ -294,7 +294,7 @@
 				s.await(again, "thrown away")
 			}
 			s.await(again, "dead-lettered a", "nacked a")
-			if c := settled(e); s.lines("push cache") != 2 || s.lines("thrown away") > 0 != unsent || c.Withdrawn > 0 || c.Pushes[policy.TimedOut] != 1 {
+			if c := drainQueue(e); s.countLines("push cache") != 2 || s.countLines("thrown away") > 0 != unsent || c.Withdrawn > 0 || c.Pushes[policy.TimedOut] != 1 {
 				t.Errorf("%+v", c)
 			}
 		})
@@ -308,10 +308,10 @@
 		for _, effect := range []policy.Effect{policy.AtMostOnce, policy.Deduplicated} {
 			t.Run(fmt.Sprint(unwritten, effect), func(t *testing.T) {
 				t.Parallel()
-				e, s := play(t, func(o *Options) {
+				e, s := startEngine(t, func(o *Options) {
 					o.Settings.Categories[2] = policy.Category{Effect: effect, Group: policy.GroupCell, Window: 1000, Target: 1000, TTL: 2000, Benefit: 1}
 				})
-				s.unwritten = unwritten
+				s.pushesUnwritten = unwritten
 				e.Submit(s.op("a", 2))
 				at := s.await(0, "push cache")
 				want := "dead-lettered a"
@@ -319,7 +319,7 @@
 					want = "nacked a"
 				}
 				s.await(at, want)
-				if c := settled(e); c.Nacked+c.DeadLettered != 1 || (c.Pushes[policy.ConnectFailed] > 0) != unwritten {
+				if c := drainQueue(e); c.Nacked+c.DeadLettered != 1 || (c.Pushes[policy.ConnectFailed] > 0) != unwritten {
 					t.Errorf("%+v", c)
 				}
 			})
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -19,21 +19,21 @@
 	"minttray/policy"
 )
 
-const patience = 10 * time.Second // bound of waits that end by an event; no verdict hangs on it
+const eventTimeout = 10 * time.Second // bound of waits that end by an event; no verdict hangs on it
 
-// stage records what servers and clients meet, in order, and lets a test answer pushes.
-type stage struct {
-	t    *testing.T
-	mu   sync.Mutex
-	cond *sync.Cond
-	log  []string
-	done map[string]func(Result) // by push, as logged
+// recorder records what servers and clients meet, in order, and lets a test answer pushes.
+type recorder struct {
+	t           *testing.T
+	mu          sync.Mutex
+	cond        *sync.Cond
+	log         []string
+	pushResults map[string]func(Result) // by push, as logged
 
-	unwritten bool // pushes stay so
-	unsent    bool // or lie in the system's buffer
+	pushesUnwritten bool // pushes stay so
+	pushesUnsent    bool // or lie in the system's buffer
 }
 
-func (s *stage) say(format string, args ...any) string {
+func (s *recorder) record(format string, args ...any) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	line := fmt.Sprintf(format, args...)
@@ -43,9 +43,9 @@
 }
 
 // await waits for the first line after the first from lines that begins so, and gives its place.
-func (s *stage) await(from int, starts ...string) int {
+func (s *recorder) await(from int, starts ...string) int {
 	s.t.Helper()
-	late := time.AfterFunc(patience, func() { s.say("late") })
+	late := time.AfterFunc(eventTimeout, func() { s.record("late") })
 	defer late.Stop()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -64,15 +64,15 @@
 	}
 }
 
-func (s *stage) answer(at int, r Result) {
+func (s *recorder) answer(at int, r Result) {
 	s.mu.Lock()
-	done := s.done[s.log[at]]
+	done := s.pushResults[s.log[at]]
 	s.mu.Unlock()
 	done(r)
 }
 
 type fakeServer struct {
-	s    *stage
+	s    *recorder
 	addr string
 	n    int
 }
@@ -81,19 +81,19 @@
 	f.n++
 	name := fmt.Sprintf("%s %s #%d", f.addr, r.ID, f.n)
 	f.s.mu.Lock()
-	f.s.done["push "+name] = done
+	f.s.pushResults["push "+name] = done
 	f.s.mu.Unlock()
-	f.s.say("push %s", name)
+	f.s.record("push %s", name)
 	return func(when AbortCondition) bool {
 		if when == Always {
-			f.s.say("given up %s", name)
+			f.s.record("given up %s", name)
 			return true
 		}
 		f.s.mu.Lock()
 		defer f.s.mu.Unlock()
-		if f.s.unwritten {
+		if f.s.pushesUnwritten {
 			f.s.log = append(f.s.log, "taken back "+name)
-		} else if when == IfUnsent && f.s.unsent {
+		} else if when == IfUnsent && f.s.pushesUnsent {
 			f.s.log = append(f.s.log, "thrown away "+name)
 		} else {
 			return false
@@ -102,18 +102,18 @@
 		return true
 	}
 }
-func (f *fakeServer) Release() { f.s.say("release %s", f.addr) }
-func (f *fakeServer) Retire()  { f.s.say("retire %s", f.addr) }
+func (f *fakeServer) Release() { f.s.record("release %s", f.addr) }
+func (f *fakeServer) Retire()  { f.s.record("retire %s", f.addr) }
 
 type fakeReply struct {
-	s  *stage
+	s  *recorder
 	id string
 }
 
-func (r fakeReply) Acked(value []byte)            { r.s.say("acked %s %s", r.id, value) }
-func (r fakeReply) Streamed(body Body)            { r.s.say("passed %s %d", r.id, body.Size) }
-func (r fakeReply) Nacked(comeBack time.Duration) { r.s.say("nacked %s", r.id) }
-func (r fakeReply) DeadLettered()                 { r.s.say("dead-lettered %s", r.id) }
+func (r fakeReply) Acked(value []byte)            { r.s.record("acked %s %s", r.id, value) }
+func (r fakeReply) Streamed(body Body)            { r.s.record("passed %s %d", r.id, body.Size) }
+func (r fakeReply) Nacked(comeBack time.Duration) { r.s.record("nacked %s", r.id) }
+func (r fakeReply) DeadLettered()                 { r.s.record("dead-lettered %s", r.id) }
 
 type noCatalog struct{}
 
@@ -128,9 +128,9 @@
 	return m
 }
 
-// play runs an engine with two caches and an origin; change adapts its options.
-func play(t *testing.T, change func(*Options)) (*Engine, *stage) {
-	e, s := begin(t, change)
+// startEngine runs an engine with two caches and an origin; change adapts its options.
+func startEngine(t *testing.T, change func(*Options)) (*Engine, *recorder) {
+	e, s := newTestEngine(t, change)
 	stop := make(chan struct{})
 	ended := make(chan struct{})
 	go func() { e.Run(stop); close(ended) }()
@@ -138,8 +138,8 @@
 	return e, s
 }
 
-func begin(t *testing.T, change func(*Options)) (*Engine, *stage) {
-	s := &stage{t: t, done: map[string]func(Result){}}
+func newTestEngine(t *testing.T, change func(*Options)) (*Engine, *recorder) {
+	s := &recorder{t: t, pushResults: map[string]func(Result){}}
 	s.cond = sync.NewCond(&s.mu)
 	o := Options{Module: func(s policy.Settings, seed uint64, h policy.Host) Module { return policy.New(s, seed, h) }, Seed: 7, Logger: zerolog.Nop(), MaxOps: 100, MaxBytes: 1 << 20,
 		Connect: func(m Member) Server { return &fakeServer{s: s, addr: m.Addr} },
@@ -155,14 +155,14 @@
 	return e, s
 }
 
-func (s *stage) op(id string, category int) *Op {
+func (s *recorder) op(id string, category int) *Op {
 	now := time.Now()
 	return &Op{ReceivedAt: now, Key: 5, Category: category, Request: Request{Key: "5", ID: id, Deadline: deadline.After(now, time.Minute)},
 		Reply: fakeReply{s, id}}
 }
 
-// settled waits until all that was put into the queue so far has been handled.
-func settled(e *Engine) (c Counters) {
+// drainQueue waits until all that was put into the queue so far has been handled.
+func drainQueue(e *Engine) (c Counters) {
 	done := make(chan struct{})
 	e.Do(func(e *Engine) { c = e.Counters; close(done) })
 	<-done
@@ -170,19 +170,19 @@
 }
 
 func TestAnswerComesOnceAndIsTheOpsOwn(t *testing.T) {
-	e, s := play(t, nil)
+	e, s := startEngine(t, nil)
 	e.Submit(s.op("a", 0))
 	at := s.await(0, "push cache")
 	s.answer(at, Result{Outcome: policy.Acked, Value: []byte("v")})
 	s.await(at, "acked a v")
 	s.answer(at, Result{Outcome: policy.Acked, Value: []byte("again")})
-	if c := settled(e); c.Acked != 1 || c.Pushes[policy.Acked] != 1 || e.ops.Load() != 0 {
+	if c := drainQueue(e); c.Acked != 1 || c.Pushes[policy.Acked] != 1 || e.opCount.Load() != 0 {
 		t.Errorf("a second result counted: %+v", c)
 	}
 }
 
 func TestMissGoesToTheOrigin(t *testing.T) {
-	e, s := play(t, nil)
+	e, s := startEngine(t, nil)
 	e.Submit(s.op("a", 0))
 	at := s.await(0, "push cache")
 	s.answer(at, Result{Outcome: policy.Miss})
@@ -193,7 +193,7 @@
 
 // Danger: a push that timed out, still out on an open connection when the next is written, is a second copy.
 func TestPushIsGivenUpBeforeTheOpEnds(t *testing.T) {
-	e, s := play(t, nil)
+	e, s := startEngine(t, nil)
 	e.Submit(s.op("a", 1)) // its target is 100 ms, and nobody answers
 	at := s.await(0, "push cache")
 	up := s.await(at, "given up cache")
@@ -201,39 +201,39 @@
 		t.Error("answered while the push was still out")
 	}
 	s.answer(at, Result{Outcome: policy.Acked, Value: []byte("late")})
-	if c := settled(e); c.Acked != 0 || c.Pushes[policy.TimedOut] != 1 || e.ops.Load() != 0 {
+	if c := drainQueue(e); c.Acked != 0 || c.Pushes[policy.TimedOut] != 1 || e.opCount.Load() != 0 {
 		t.Errorf("a late answer counted: %+v", c)
 	}
 }
 
 func TestClientThatLeaves(t *testing.T) {
-	e, s := play(t, nil)
+	e, s := startEngine(t, nil)
 	o := s.op("a", 0)
 	e.Submit(o)
 	at := s.await(0, "push cache")
 	e.Abandon(o)
 	s.await(at, "given up cache")
 	e.Abandon(o)
-	if c := settled(e); c.Left != 1 || c.Pushes[policy.Cancelled] != 1 || c.Acked+c.Nacked+c.DeadLettered != 0 || e.ops.Load() != 0 {
+	if c := drainQueue(e); c.ClientsLeft != 1 || c.Pushes[policy.Cancelled] != 1 || c.Acked+c.Nacked+c.DeadLettered != 0 || e.opCount.Load() != 0 {
 		t.Errorf("%+v", c)
 	}
 }
 
 func TestAtMostOnceIsNotSentAgain(t *testing.T) {
-	e, s := play(t, nil)
+	e, s := startEngine(t, nil)
 	e.Submit(s.op("never ran", 2))
 	at := s.await(0, "push cache")
 	s.answer(at, Result{Outcome: policy.Rejected})
 	at = s.await(at+1, "push cache") // the other one: the first proved that it never ran
 	s.answer(at, Result{Outcome: policy.ConnectionLost})
 	s.await(at, "dead-lettered never ran")
-	if c := settled(e); c.Sent != 2 || e.ops.Load() != 0 {
+	if c := drainQueue(e); c.Sent != 2 || e.opCount.Load() != 0 {
 		t.Errorf("%+v", c)
 	}
 }
 
 func TestDrainingCacheGetsNothingNew(t *testing.T) {
-	e, s := play(t, nil)
+	e, s := startEngine(t, nil)
 	e.UpdateList(policy.ListDelta, []Member{member(1, policy.Draining)})
 	e.UpdateList(policy.ListDelta, []Member{member(2, policy.Gone)})
 	for i := range 20 {
@@ -241,7 +241,7 @@
 		o.Key = uint64(i + 1)
 		e.Submit(o)
 	}
-	settled(e)
+	drainQueue(e)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if i := slices.IndexFunc(s.log, func(line string) bool { return strings.HasPrefix(line, "push cache") }); i >= 0 {
@@ -251,20 +251,20 @@
 
 // Danger: connections to a process that is no more may be silent for ever, and pushes on them wait in vain.
 func TestNewProcessGetsNewConnections(t *testing.T) {
-	e, s := play(t, nil)
+	e, s := startEngine(t, nil)
 	again := member(1, policy.Ready)
 	again.Start = 1
 	e.UpdateList(policy.ListDelta, []Member{again, member(2, policy.Gone)})
 	s.await(s.await(0, "retire cache1"), "retire cache2")
 	e.UpdateList(policy.ListDelta, []Member{again, member(2, policy.Ready)})
-	settled(e)
+	drainQueue(e)
 	if len(s.log) != 2 {
 		t.Errorf("%q", s.log)
 	}
 }
 
 func TestCacheThatMovesKeepsItsNumber(t *testing.T) {
-	e, s := play(t, nil)
+	e, s := startEngine(t, nil)
 	moved := []Member{member(1, policy.Ready), member(2, policy.Ready)}
 	moved[0].Addr, moved[1].Addr = "moved1", "moved2"
 	e.UpdateList(policy.ListDelta, moved)
@@ -275,7 +275,7 @@
 }
 
 func TestTooMuchIsNotTaken(t *testing.T) {
-	e, s := play(t, func(o *Options) { o.MaxOps, o.MaxBytes = 2, 100 })
+	e, s := startEngine(t, func(o *Options) { o.MaxOps, o.MaxBytes = 2, 100 })
 	big := s.op("big", 0)
 	big.Request.Value = make([]byte, 200)
 	if e.Submit(big) != ErrFull || e.Submit(s.op("a", 0)) != nil || e.Submit(s.op("b", 0)) != nil ||
@@ -285,7 +285,7 @@
 	at := s.await(0, "push cache")
 	s.answer(at, Result{Outcome: policy.Acked})
 	s.await(at, "acked")
-	settled(e)
+	drainQueue(e)
 	if e.Submit(s.op("d", 0)) != nil {
 		t.Error("an op that ended still counts")
 	}
@@ -293,25 +293,25 @@
 
 // Danger: an id sent again is served with what belongs to another client, or pushed after its op's end.
 func TestIDIsTakenOnce(t *testing.T) {
-	e, s := play(t, nil)
+	e, s := startEngine(t, nil)
 	if e.Submit(s.op("a", 0)) != nil || e.Submit(s.op("a", 0)) != ErrDuplicateID {
 		t.Error("an open op's id was taken again")
 	}
 	at := s.await(0, "push cache")
 	s.answer(at, Result{Outcome: policy.Acked, Value: []byte("v")})
 	s.await(at, "acked a v")
-	settled(e) // the answer goes out before the op is let go of
-	if e.Submit(s.op("a", 0)) != ErrDuplicateID || e.ops.Load() != 0 {
-		t.Errorf("taken again after its end, or held: %d", e.ops.Load())
+	drainQueue(e) // the answer goes out before the op is let go of
+	if e.Submit(s.op("a", 0)) != ErrDuplicateID || e.opCount.Load() != 0 {
+		t.Errorf("taken again after its end, or held: %d", e.opCount.Load())
 	}
 	now := time.Now()
-	ids := newIDs(time.Second)
-	for i := range 10 * mostIDs {
+	ids := newRecentIDs(time.Second)
+	for i := range 10 * maxIDsPerGeneration {
 		if !ids.add(fmt.Sprint(i), now) {
 			t.Fatalf("%d is new", i)
 		}
 	}
-	if n := len(ids.now) + len(ids.old); n > 2*mostIDs {
+	if n := len(ids.current) + len(ids.previous); n > 2*maxIDsPerGeneration {
 		t.Errorf("%d ids kept", n)
 	}
 	ids.add("x", now.Add(time.Second))
@@ -322,7 +322,7 @@
 
 // Danger: a whole list that no longer names a cache leaves its connections open for good.
 func TestMissingFromAWholeListIsGone(t *testing.T) {
-	e, s := play(t, nil)
+	e, s := startEngine(t, nil)
 	e.UpdateList(policy.ListFull, []Member{member(1, policy.Ready), member(9, policy.Ready)})
 	s.await(0, "retire cache2")
 	e.Do(func(e *Engine) {
@@ -330,37 +330,37 @@
 			t.Errorf("%d servers kept", len(e.servers))
 		}
 	})
-	settled(e)
+	drainQueue(e)
 }
 
 // The module answers each op by its TTL. Should it ever not, the engine does, and says so.
 func TestOverdueOpIsEndedAtItsTTL(t *testing.T) {
-	e, s := play(t, nil)
+	e, s := startEngine(t, nil)
 	e.Do(func(e *Engine) {
 		o := s.op("a", 0)
-		h := &op{Op: o, id: 1 << 30, ttl: e.now}
-		o.held, e.held[h.id] = h, h
-		e.ops.Add(1)
-		e.timers.set(h.ttl+overdue, func() { e.expire(h) })
+		h := &opRecord{Op: o, id: 1 << 30, ttl: e.now}
+		o.record, e.records[h.id] = h, h
+		e.opCount.Add(1)
+		e.timers.set(h.ttl+overdueGrace, func() { e.expire(h) })
 	})
 	s.await(0, "dead-lettered a")
-	if c := settled(e); c.Overdue != 1 || e.ops.Load() != 0 {
+	if c := drainQueue(e); c.OverdueOps != 1 || e.opCount.Load() != 0 {
 		t.Errorf("%+v", c)
 	}
 }
 
 func TestPushThatCannotBeSentIsMoot(t *testing.T) {
-	e, s := play(t, nil)
+	e, s := startEngine(t, nil)
 	got := make(chan Counters)
 	e.Do(func(e *Engine) {
 		o := s.op("a", 0)
-		h := &op{Op: o, id: 1 << 30, ttl: e.now + 1000}
-		e.held[h.id] = h
+		h := &opRecord{Op: o, id: 1 << 30, ttl: e.now + 1000}
+		e.records[h.id] = h
 		e.Push(h.id, 77, 0)
-		if len(h.out) != 1 || e.Counters.Pushes[policy.NotSent] != 0 {
+		if len(h.openPushes) != 1 || e.Counters.Pushes[policy.NotSent] != 0 {
 			t.Error("a host call told its outcome by re-entering the module")
 		}
-		e.settle()
+		e.runDeferred()
 		got <- e.Counters
 	})
 	if c := <-got; c.Pushes[policy.NotSent] != 1 || c.Sent != 0 {
@@ -375,7 +375,7 @@
 		ts.set(at, func() { got = append(got, i) })
 	}
 	for _, now := range []policy.Time{0, 3, 4, 5} {
-		for do := ts.due(now); do != nil; do = ts.due(now) {
+		for do := ts.popDue(now); do != nil; do = ts.popDue(now) {
 			do()
 		}
 		got = append(got, -1)
@@ -387,10 +387,10 @@
 
 // Danger: an op that waits for a cache that never answers its probe, or a probe's late answer taken for another's.
 func TestProbe(t *testing.T) {
-	e, s := play(t, func(o *Options) { o.Settings.Probing = true })
+	e, s := startEngine(t, func(o *Options) { o.Settings.Probing = true })
 	e.Submit(s.op("a", 0)) // targets of 100 ms and more: a probe is waited for a sixteenth of that
 	at := s.await(0, "push cache")
-	if c := settled(e); c.Probes != 1 || c.Sent != 0 {
+	if c := drainQueue(e); c.Probes != 1 || c.Sent != 0 {
 		t.Fatalf("the op did not wait for the probe: %+v", c)
 	}
 	s.answer(at, Result{Outcome: policy.Acked, QueueLength: 0, OpsPerSecond: 30})
@@ -398,33 +398,33 @@
 	s.answer(at, Result{Outcome: policy.Acked, QueueLength: 1e6, OpsPerSecond: 1})
 	s.answer(op, Result{Outcome: policy.Acked, Value: []byte("v")})
 	s.await(op, "acked a v")
-	settled(e)
+	drainQueue(e)
 	time.Sleep(50 * time.Millisecond) // the word is old
 	e.Submit(s.op("b", 0))
 	at = s.await(op+1, "push cache") // the probe, never answered
 	at = s.await(at+1, "push cache") // the op all the same, or another cache's probe before it
 	s.await(at, "given up cache")
-	if c := settled(e); c.ProbesUntold == 0 || c.Probes < 2 {
+	if c := drainQueue(e); c.ProbesFailed == 0 || c.Probes < 2 {
 		t.Errorf("%+v", c)
 	}
 }
 
 // Danger: a push that waits for its connection is written after the operator was told that the cache is out.
 func TestOutTakesBackWhatIsNotWritten(t *testing.T) {
-	e, s := play(t, nil)
-	if err := e.SetCacheOut("nobody", true, patience); err != ErrUnknown {
+	e, s := startEngine(t, nil)
+	if err := e.SetCacheOut("nobody", true, eventTimeout); err != ErrUnknown {
 		t.Errorf("an id that nobody has: %v", err)
 	}
-	if err := e.SetCacheOut("origin", true, patience); err != ErrUnknown {
+	if err := e.SetCacheOut("origin", true, eventTimeout); err != ErrUnknown {
 		t.Errorf("the origin is taken for a cache: %v", err)
 	}
 	e.Submit(s.op("a", 0))
 	at := s.await(0, "push cache")
 	first := s.cache(at)
 	s.mu.Lock()
-	s.unwritten = true
+	s.pushesUnwritten = true
 	s.mu.Unlock()
-	if err := e.SetCacheOut(first, true, patience); err != nil {
+	if err := e.SetCacheOut(first, true, eventTimeout); err != nil {
 		t.Fatal(err)
 	}
 	// All that is said by now came before the yes.
@@ -441,7 +441,7 @@
 		at = s.await(again, fmt.Sprintf("push %s b%d ", s.cache(again), i))
 		s.answer(at, Result{Outcome: policy.Acked, Value: []byte("v")})
 	}
-	if e.SetCacheOut(first, true, patience) != nil || e.SetCacheOut(first, false, patience) != nil {
+	if e.SetCacheOut(first, true, eventTimeout) != nil || e.SetCacheOut(first, false, eventTimeout) != nil {
 		t.Error("out twice and back once")
 	}
 }
@@ -453,7 +453,7 @@
 		m.Zone = zone
 		return m
 	}
-	e, s := play(t, func(o *Options) { o.Sites = map[int]SiteOverride{1: {Out: true, At: time.Now()}} })
+	e, s := startEngine(t, func(o *Options) { o.Sites = map[int]SiteOverride{1: {Out: true, At: time.Now()}} })
 	list := func(members ...Member) { e.UpdateList(policy.ListFull, append(members, in(9, 1))) }
 	list(in(1, 0), in(2, 1))
 	ask := func(from int, id, want string) int {
@@ -466,20 +466,20 @@
 		return s.await(at, "acked "+id)
 	}
 	at := ask(0, "a", "cache1")
-	if err := e.SetSite(0, SiteOverride{Out: true, At: time.Now()}, patience); err != ErrLastCaches {
+	if err := e.SetSite(0, SiteOverride{Out: true, At: time.Now()}, eventTimeout); err != ErrLastCaches {
 		t.Errorf("the last site: %v", err)
 	}
-	if err := e.SetSite(0, SiteOverride{At: time.Now()}, patience); err != ErrUnknown {
+	if err := e.SetSite(0, SiteOverride{At: time.Now()}, eventTimeout); err != ErrUnknown {
 		t.Errorf("a site that nobody took out: %v", err)
 	}
-	if err := e.SetSite(7, SiteOverride{Out: true, At: time.Now()}, patience); err != ErrUnknown {
+	if err := e.SetSite(7, SiteOverride{Out: true, At: time.Now()}, eventTimeout); err != ErrUnknown {
 		t.Errorf("a site that is not there: %v", err)
 	}
 	list(in(1, 0), in(2, 1), in(3, 1))
 	for i := range 10 {
 		at = ask(at, fmt.Sprint("b", i), "cache1")
 	}
-	if e.SetSite(1, SiteOverride{At: time.Now()}, patience) != nil || e.SetSite(0, SiteOverride{Out: true, At: time.Now()}, patience) != nil {
+	if e.SetSite(1, SiteOverride{At: time.Now()}, eventTimeout) != nil || e.SetSite(0, SiteOverride{Out: true, At: time.Now()}, eventTimeout) != nil {
 		t.Error("not called back, or the other not out then")
 	}
 	e.Submit(s.op("c", 0))
@@ -489,7 +489,7 @@
 }
 
 // cache is where the push of a line went.
-func (s *stage) cache(line int) string {
+func (s *recorder) cache(line int) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return strings.Fields(s.log[line])[1]
@@ -497,18 +497,18 @@
 
 // A process that takes over begins with a half of what was sent, and both together may send what one did.
 func TestHandover(t *testing.T) {
-	e, s := play(t, nil)
+	e, s := startEngine(t, nil)
 	for i := range 20 {
 		e.Submit(s.op(fmt.Sprint("op", i), 0))
 		at := s.await(0, fmt.Sprintf("push cache1 op%d ", i), fmt.Sprintf("push cache2 op%d ", i))
 		s.answer(at, Result{Outcome: policy.Acked, Value: []byte("v")})
 	}
-	settled(e)
-	given, err := e.Handover(patience)
+	drainQueue(e)
+	given, err := e.Handover(eventTimeout)
 	if err != nil {
 		t.Fatal(err)
 	}
-	next, _ := play(t, func(o *Options) { o.Memory = &given })
+	next, _ := startEngine(t, func(o *Options) { o.Memory = &given })
 	sum := func(e *Engine) (sent float64) {
 		e.ReadStats(func(policy.Counts, int, time.Duration) {})
 		done := make(chan struct{})
@@ -526,7 +526,7 @@
 	}
 	other := warm.LearnedState{Confidence: 1, Caches: map[uint32]warm.ServerState{1: {Name: "another", Record: evidence.Record{Sent: evidence.Window{5}, Limit: 3}},
 		2: {Name: "cache2", Start: 7, Record: evidence.Record{Sent: evidence.Window{5}, Limit: 3}}}}
-	next, _ = play(t, func(o *Options) { o.Memory = &other })
+	next, _ = startEngine(t, func(o *Options) { o.Memory = &other })
 	if b := sum(next); b != 0 {
 		t.Errorf("%v taken over of other caches", b)
 	}
@@ -535,7 +535,7 @@
 // Danger: a cache that was called back before the upgrade is taken for a warm one after it.
 func TestWhoCameBackIsColdAfterTheUpgradeToo(t *testing.T) {
 	now := time.Now()
-	e, _ := play(t, func(o *Options) {
+	e, _ := startEngine(t, func(o *Options) {
 		o.CachesOut, o.ReturnedAt = []string{"cache1"}, map[string]time.Time{"cache2": now}
 	})
 	done := make(chan map[string]policy.Entry)
@@ -557,7 +557,7 @@
 }
 
 func TestRetuneLeavesOpenOpsTheirRules(t *testing.T) {
-	e, s := play(t, nil)
+	e, s := startEngine(t, nil)
 	e.Submit(s.op("a", 0))
 	at := s.await(0, "push cache")
 	settings := e.Options.Settings
@@ -565,7 +565,7 @@
 	settings.Categories[0].Dropped = true
 	settings.Categories = append(settings.Categories, policy.Category{Effect: policy.AtMostOnce, Target: 300000, TTL: 900000, Benefit: 1})
 	settings.MostPushes = 1
-	if err := e.ApplySettings(settings, 100, patience); err != nil {
+	if err := e.ApplySettings(settings, 100, eventTimeout); err != nil {
 		t.Fatal(err)
 	}
 	s.answer(at, Result{Outcome: policy.Errored})
@@ -576,43 +576,43 @@
 	at = s.await(at+1, "push cache")
 	s.answer(at, Result{Outcome: policy.Errored})
 	s.await(at, "dead-lettered b")
-	if e.ids.span < 90*time.Second {
-		t.Errorf("ids are kept for %v, ops may be open for 90 s", e.ids.span)
+	if e.ids.retention < 90*time.Second {
+		t.Errorf("ids are kept for %v, ops may be open for 90 s", e.ids.retention)
 	}
 }
 
 // Danger: the client that left, or the op that was answered, leaves a long value unread, and its cache's connection open.
 func TestALongValueThatNobodyWaitsForIsClosed(t *testing.T) {
-	e, s := play(t, nil)
+	e, s := startEngine(t, nil)
 	e.Submit(s.op("a", 0))
 	at := s.await(0, "push cache")
 	s.answer(at, Result{Outcome: policy.Acked, Body: Body{Size: 70000, ReadCloser: closer{s, "first"}}})
 	s.await(at, "passed a 70000")
 	s.answer(at, Result{Outcome: policy.Acked, Body: Body{Size: 70000, ReadCloser: closer{s, "late"}}})
 	s.await(at, "closed late")
-	if c := settled(e); c.Acked != 1 || e.ops.Load() != 0 {
+	if c := drainQueue(e); c.Acked != 1 || e.opCount.Load() != 0 {
 		t.Errorf("%+v", c)
 	}
 }
 
 type closer struct {
-	s    *stage
+	s    *recorder
 	name string
 }
 
 func (c closer) Read([]byte) (int, error) { return 0, io.EOF }
-func (c closer) Close() error             { c.s.say("closed %s", c.name); return nil }
+func (c closer) Close() error             { c.s.record("closed %s", c.name); return nil }
 
 // Danger: a process ends with an answer owed, or answers an op twice.
 func TestHandBack(t *testing.T) {
-	e, s := play(t, nil)
+	e, s := startEngine(t, nil)
 	for i, category := range []int{0, 2, 0, 2, 0} {
 		e.Submit(s.op(fmt.Sprint("op", i), category))
 		s.await(0, fmt.Sprintf("push cache1 op%d ", i), fmt.Sprintf("push cache2 op%d ", i))
 	}
 	first := s.await(0, "push cache1 op0 ", "push cache2 op0 ")
 	s.answer(first, Result{Outcome: policy.Acked, Value: []byte("v")}) // it has come, and is heard first
-	if err := e.AnswerAllOpen(patience); err != nil {
+	if err := e.AnswerAllOpen(eventTimeout); err != nil {
 		t.Fatal(err)
 	}
 	for _, line := range []string{"acked op0 v", "dead-lettered op1", "nacked op2", "dead-lettered op3", "nacked op4"} {
@@ -623,7 +623,7 @@
 	if err := e.Submit(s.op("op9", 0)); err != ErrFull {
 		t.Errorf("taken after the end: %v", err)
 	}
-	if c := settled(e); c.HandedBack != 4 || c.Late != 0 || e.AnswerAllOpen(patience) != nil {
+	if c := drainQueue(e); c.AnsweredAtShutdown != 4 || c.LateAnswers != 0 || e.AnswerAllOpen(eventTimeout) != nil {
 		t.Errorf("%+v", c)
 	}
 	s.mu.Lock()
@@ -644,7 +644,7 @@
 	outcomes := []policy.Outcome{policy.Acked, policy.Errored, policy.Rejected, policy.TimedOut, policy.ConnectFailed, policy.ConnectionLost, policy.Miss}
 	rapid.Check(t, func(r *rapid.T) {
 		stop, ended := make(chan struct{}), make(chan struct{})
-		e, s := begin(t, nil)
+		e, s := newTestEngine(t, nil)
 		go func() { e.Run(stop); close(ended) }()
 		defer func() { close(stop); <-ended }()
 		taken, left := map[string]*Op{}, map[string]bool{}
@@ -656,11 +656,11 @@
 					taken[o.Request.ID] = o
 				}
 			case 2:
-				settled(e)
+				drainQueue(e)
 				s.mu.Lock()
 				var out []func(Result)
-				for _, name := range slices.Sorted(maps.Keys(s.done)) {
-					out = append(out, s.done[name])
+				for _, name := range slices.Sorted(maps.Keys(s.pushResults)) {
+					out = append(out, s.pushResults[name])
 				}
 				s.mu.Unlock()
 				if len(out) > 0 {
@@ -676,10 +676,10 @@
 				}
 			}
 		}
-		if err := e.AnswerAllOpen(patience); err != nil {
+		if err := e.AnswerAllOpen(eventTimeout); err != nil {
 			r.Fatal(err)
 		}
-		settled(e)
+		drainQueue(e)
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		for id := range taken {
@@ -698,7 +698,9 @@
 
 // Danger: a list that is older than the last end names a cache in use that was draining by then.
 func TestDrainsOutliveARestart(t *testing.T) {
-	e, s := play(t, func(o *Options) { o.Memory = &warm.LearnedState{Confidence: 1, Departed: map[string]int64{"cache1": 0, "cache2": -1}} })
+	e, s := startEngine(t, func(o *Options) {
+		o.Memory = &warm.LearnedState{Confidence: 1, Departed: map[string]int64{"cache1": 0, "cache2": -1}}
+	})
 	for i := range 20 {
 		o := s.op(fmt.Sprint("op", i), 0)
 		o.Key = uint64(i + 1)
--- a/internal/engine/ids.go
+++ b/internal/engine/ids.go
@@ -14,44 +14,44 @@
 	ErrDuplicateID = errors.New("an op with this id was taken before")
 )
 
-const mostIDs = 1 << 15 // of one span, so that they stay small whatever comes
+const maxIDsPerGeneration = 1 << 15 // of one span, so that they stay small whatever comes
 
-// ids remembers the ids of ops taken, for the longest time that one may be open and at most twice that. An id is
+// recentIDs remembers the recentIDs of ops taken, for the longest time that one may be open and at most twice that. An id is
 // new with every op: who sends one again wants what belongs to another client, and a push for it after the first
 // op's end would be one too many.
-type ids struct {
-	span time.Duration
-	seed maphash.Seed
+type recentIDs struct {
+	retention time.Duration
+	seed      maphash.Seed
 
-	mu       sync.Mutex
-	now, old map[uint64]struct{}
-	turned   time.Time
+	mu                sync.Mutex
+	current, previous map[uint64]struct{}
+	rotatedAt         time.Time
 }
 
-func newIDs(span time.Duration) *ids {
-	return &ids{span: span, seed: maphash.MakeSeed(), now: map[uint64]struct{}{}}
+func newRecentIDs(span time.Duration) *recentIDs {
+	return &recentIDs{retention: span, seed: maphash.MakeSeed(), current: map[uint64]struct{}{}}
 }
 
-// widen keeps ids for longer from now on; never for less, as ops of before are open.
-func (s *ids) widen(span time.Duration) {
+// extendRetention keeps ids for longer from now on; never for less, as ops of before are open.
+func (s *recentIDs) extendRetention(span time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.span = max(s.span, span)
+	s.retention = max(s.retention, span)
 }
 
 // add tells whether an id is new.
-func (s *ids) add(id string, at time.Time) bool {
+func (s *recentIDs) add(id string, at time.Time) bool {
 	h := maphash.String(s.seed, id)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if at.Sub(s.turned) >= s.span || len(s.now) >= mostIDs {
-		s.now, s.old, s.turned = make(map[uint64]struct{}, len(s.now)), s.now, at
+	if at.Sub(s.rotatedAt) >= s.retention || len(s.current) >= maxIDsPerGeneration {
+		s.current, s.previous, s.rotatedAt = make(map[uint64]struct{}, len(s.current)), s.current, at
 	}
-	_, open := s.now[h]
-	_, late := s.old[h]
+	_, open := s.current[h]
+	_, late := s.previous[h]
 	if open || late {
 		return false
 	}
-	s.now[h] = struct{}{}
+	s.current[h] = struct{}{}
 	return true
 }
--- a/internal/engine/host.go
+++ b/internal/engine/policy_host.go
@@ -12,42 +12,42 @@
 
 // Push sends an op to a server, or tells the module afterwards why it could not be sent.
 func (e *Engine) Push(id, cache uint32, until policy.Time) {
-	h := e.held[id]
+	h := e.records[id]
 	if h == nil {
 		return
 	}
-	p := &push{n: h.n, to: cache, at: e.now, giveUp: func(AbortCondition) bool { return true }}
-	h.n++
-	h.out = append(h.out, p)
+	p := &push{number: h.pushCount, cache: cache, sentAt: e.now, abort: func(AbortCondition) bool { return true }}
+	h.pushCount++
+	h.openPushes = append(h.openPushes, p)
 	if until == 0 || until > h.ttl {
 		until = h.ttl
 	}
 	s := e.servers[cache]
-	if h.over || h.Request.Abandoned() || !h.attemptBegins() || h.n > h.most || until <= e.now || s == nil {
-		e.later = append(e.later, func() { e.ended(h, p, Result{Outcome: policy.NotSent}) })
+	if h.ended || h.Request.Abandoned() || !h.beginPush() || h.pushCount > h.maxPushes || until <= e.now || s == nil {
+		e.deferred = append(e.deferred, func() { e.pushEnded(h, p, Result{Outcome: policy.NotSent}) })
 		return
 	}
 	e.Counters.Sent++
 	o := h.Op
-	o.mark(&o.Trace.FirstPush, time.Now())
+	o.markTime(&o.Trace.FirstPush, time.Now())
 	o.Trace.Pushes.Add(1)
-	p.giveUp = s.Push(&h.Request, e.wall(until), func(r Result) {
+	p.abort = s.Push(&h.Request, e.wallTime(until), func(r Result) {
 		if r.Outcome == policy.Acked && r.Body.Size == 0 {
-			o.came.Store(&r.Value)
+			o.ackedValue.Store(&r.Value)
 		}
-		e.queue.put(answerEvent, func() { e.ended(h, p, r) })
+		e.queue.put(answerEvent, func() { e.pushEnded(h, p, r) })
 	})
 	e.timers.set(until, func() { e.drop(h, p, policy.TimedOut) })
-	if h.window > 0 && h.ran > 0 {
+	if h.dedupWindow > 0 && h.firstRunAt > 0 {
 		// Danger: the module let the repeat go within the window, and a connection that comes up late, or a server that hangs as it
 		// is written, has it come behind that: the op would run twice.
-		e.timers.set(h.ran+h.window-e.Settings.Tick, func() {
+		e.timers.set(h.firstRunAt+h.dedupWindow-e.Settings.Tick, func() {
 			switch {
-			case !slices.Contains(h.out, p):
-			case p.giveUp(IfUnwritten):
-				e.withdrawn(h, p)
-			case p.giveUp(IfUnsent):
-				e.ended(h, p, Result{Outcome: policy.TimedOut}) // our system's word may be old: it may have run
+			case !slices.Contains(h.openPushes, p):
+			case p.abort(IfUnwritten):
+				e.pushWithdrawn(h, p)
+			case p.abort(IfUnsent):
+				e.pushEnded(h, p, Result{Outcome: policy.TimedOut}) // our system's word may be old: it may have run
 			}
 		})
 	}
@@ -55,15 +55,15 @@
 
 // drop gives up a push that is still out. Its connection is closed before the module hears of it: no second
 // copy may be written while the first is out on an open connection.
-func (e *Engine) drop(h *op, p *push, how policy.Outcome) {
-	for _, o := range h.out {
+func (e *Engine) drop(h *opRecord, p *push, how policy.Outcome) {
+	for _, o := range h.openPushes {
 		if o == p {
 			// Danger: an op that must not run twice would be answered as one that may have run, though no byte of it was written.
-			if how == policy.TimedOut && h.effect != policy.Redeliverable && p.giveUp(IfUnwritten) {
+			if how == policy.TimedOut && h.effect != policy.Redeliverable && p.abort(IfUnwritten) {
 				how = policy.ConnectFailed
 			}
-			p.giveUp(Always)
-			e.ended(h, p, Result{Outcome: how})
+			p.abort(Always)
+			e.pushEnded(h, p, Result{Outcome: how})
 			return
 		}
 	}
@@ -71,11 +71,11 @@
 
 // Cancel gives up a push; its outcome follows once the module has returned.
 func (e *Engine) Cancel(id uint32, n int) {
-	if h := e.held[id]; h != nil {
-		for _, p := range h.out {
-			if p.n == n {
-				p.giveUp(Always)
-				e.later = append(e.later, func() { e.drop(h, p, policy.Cancelled) })
+	if h := e.records[id]; h != nil {
+		for _, p := range h.openPushes {
+			if p.number == n {
+				p.abort(Always)
+				e.deferred = append(e.deferred, func() { e.drop(h, p, policy.Cancelled) })
 			}
 		}
 	}
@@ -84,33 +84,33 @@
 // Nack answers that a retry is safe.
 func (e *Engine) Nack(id uint32, comeBack policy.Time) {
 	if h := e.open(id); h != nil {
-		e.end(h)
-		if e.answers(h) {
+		e.endOp(h)
+		if e.claimAnswer(h) {
 			e.Counters.Nacked++
-			h.Reply.Nacked(time.Duration(max(comeBack, 0)) * unit)
+			h.Reply.Nacked(time.Duration(max(comeBack, 0)) * timeUnit)
 		}
-		e.later = append(e.later, func() { e.forget(h) })
+		e.deferred = append(e.deferred, func() { e.releaseOp(h) })
 	}
 }
 
 // DeadLetter answers with no promise about the op's effect.
 func (e *Engine) DeadLetter(id uint32) {
 	if h := e.open(id); h != nil {
-		e.end(h)
-		if e.answers(h) {
+		e.endOp(h)
+		if e.claimAnswer(h) {
 			e.Counters.DeadLettered++
 			h.Reply.DeadLettered()
 		}
-		e.later = append(e.later, func() { e.forget(h) })
+		e.deferred = append(e.deferred, func() { e.releaseOp(h) })
 	}
 }
 
 // open finds an op that still owes its answer.
-func (e *Engine) open(id uint32) *op {
-	if h := e.held[id]; h != nil && !h.over {
+func (e *Engine) open(id uint32) *opRecord {
+	if h := e.records[id]; h != nil && !h.ended {
 		return h
 	}
-	e.Counters.Late++
+	e.Counters.LateAnswers++
 	return nil
 }
 
@@ -127,12 +127,12 @@
 func (e *Engine) Probe(cache uint32) {
 	s := e.servers[cache]
 	if s == nil || s.probing {
-		e.later = append(e.later, func() { e.module.Probed(cache, false, 0, 0) })
+		e.deferred = append(e.deferred, func() { e.module.Probed(cache, false, 0, 0) })
 		return
 	}
 	e.Counters.Probes++
 	s.probing = true
-	over, until := false, e.now+longestProbe
+	over, until := false, e.now+probeTimeout
 	end := func(r Result) {
 		if over {
 			return
@@ -140,12 +140,12 @@
 		over, s.probing = true, false
 		told := r.Outcome == policy.Acked && r.Err == nil
 		if !told {
-			e.Counters.ProbesUntold++
+			e.Counters.ProbesFailed++
 		}
 		e.module.Probed(cache, told, r.QueueLength, r.OpsPerSecond)
 	}
-	giveUp := s.Push(&Request{Probe: true}, e.wall(until), func(r Result) { e.queue.put(probeEvent, func() { end(r) }) })
-	s.unprobe = func() {
+	giveUp := s.Push(&Request{Probe: true}, e.wallTime(until), func(r Result) { e.queue.put(probeEvent, func() { end(r) }) })
+	s.cancelProbe = func() {
 		if !over && giveUp(IfUnwritten) {
 			end(Result{Outcome: policy.NotSent})
 		}
--- a/internal/engine/progress.go
+++ b/internal/engine/progress.go
@@ -16,8 +16,8 @@
 	opAnswered                 // its one final answer is given, or nobody waits for it: no attempt begins any more
 )
 
-// attemptBegins moves an op on to its next attempt, and tells whether that may begin.
-func (o *Op) attemptBegins() bool {
+// beginPush moves an op on to its next attempt, and tells whether that may begin.
+func (o *Op) beginPush() bool {
 	return o.progress.CompareAndSwap(uint32(opWaiting), uint32(opBegun)) || progress(o.progress.Load()) == opBegun
 }
 
@@ -27,8 +27,8 @@
 	return from, from != opAnswered
 }
 
-// claimWaiting takes it only if no attempt has begun.
-func (o *Op) claimWaiting() bool {
+// claimIfWaiting takes it only if no attempt has begun.
+func (o *Op) claimIfWaiting() bool {
 	return o.progress.CompareAndSwap(uint32(opWaiting), uint32(opAnswered))
 }
 
@@ -39,37 +39,37 @@
 	AnsweredDuringLag                       atomic.Bool // it was answered while the engine was behind
 }
 
-// mark notes a state's first time.
-func (o *Op) mark(state *atomic.Int64, now time.Time) {
+// markTime notes a state's first time.
+func (o *Op) markTime(state *atomic.Int64, now time.Time) {
 	state.CompareAndSwap(0, max(int64(now.Sub(o.ReceivedAt)), 1))
 }
 
-// openOps are the ops that were handed in and have no final answer yet.
-type openOps struct {
+// unansweredOps are the ops that were handed in and have no final answer yet.
+type unansweredOps struct {
 	mu  sync.Mutex
-	all map[*Op]struct{}
+	ops map[*Op]struct{}
 }
 
-func (s *openOps) add(o *Op) {
+func (s *unansweredOps) add(o *Op) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.all == nil {
-		s.all = map[*Op]struct{}{}
+	if s.ops == nil {
+		s.ops = map[*Op]struct{}{}
 	}
-	s.all[o] = struct{}{}
+	s.ops[o] = struct{}{}
 }
 
-func (s *openOps) remove(o *Op) {
+func (s *unansweredOps) remove(o *Op) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.all, o)
+	delete(s.ops, o)
 }
 
-// due gives the ops for which a test holds.
-func (s *openOps) due(is func(*Op) bool) (some []*Op) {
+// matching gives the ops for which a test holds.
+func (s *unansweredOps) matching(is func(*Op) bool) (some []*Op) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for o := range s.all {
+	for o := range s.ops {
 		if is(o) {
 			some = append(some, o)
 		}
--- a/internal/engine/queue.go
+++ b/internal/engine/queue.go
@@ -16,29 +16,29 @@
 	listEvent
 	probeEvent
 	callEvent // of an operator, or the daemon
-	settleEvent
+	answeredEvent
 	timerEvent
-	eventKinds
+	eventKindCount
 )
 
-var eventNames = [eventKinds]string{"request", "answer", "client left", "list", "probe", "call", "settle", "timer"}
+var eventNames = [eventKindCount]string{"request", "answer", "client left", "list", "probe", "call", "settle", "timer"}
 
 func (k eventKind) String() string { return eventNames[k] }
 
 type event struct {
-	at   time.Time
-	kind eventKind
-	do   func()
+	queuedAt time.Time
+	kind     eventKind
+	run      func()
 }
 
 // queue is the one way to the engine. Putting never blocks: what a front may hold is bounded before it puts,
 // and a server's results are bounded by the pushes that are out.
 type queue struct {
-	mu     sync.Mutex
-	events []event
-	early  []func()    // operators' calls
-	any    atomic.Bool // of those
-	wake   chan struct{}
+	mu       sync.Mutex
+	events   []event
+	calls    []func()    // operators' calls
+	hasCalls atomic.Bool // of those
+	wake     chan struct{}
 }
 
 func (q *queue) put(kind eventKind, do func()) {
@@ -61,7 +61,7 @@
 	if len(q.events) == 0 {
 		return at, false
 	}
-	return q.events[0].at, true
+	return q.events[0].queuedAt, true
 }
 
 // take swaps the waiting events for an empty slice.
@@ -73,11 +73,11 @@
 	return events
 }
 
-// putFirst hands in what is done before all else.
-func (q *queue) putFirst(do func()) {
+// putCall hands in what is done before all else.
+func (q *queue) putCall(do func()) {
 	q.mu.Lock()
-	q.early = append(q.early, do)
-	q.any.Store(true)
+	q.calls = append(q.calls, do)
+	q.hasCalls.Store(true)
 	q.mu.Unlock()
 	select {
 	case q.wake <- struct{}{}:
@@ -85,14 +85,14 @@
 	}
 }
 
-func (q *queue) takeFirst() []func() {
-	if !q.any.Load() {
+func (q *queue) takeCalls() []func() {
+	if !q.hasCalls.Load() {
 		return nil
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	early := q.early
-	q.early = nil
-	q.any.Store(false)
+	early := q.calls
+	q.calls = nil
+	q.hasCalls.Store(false)
 	return early
 }
--- a/internal/engine/settings_test.go
+++ b/internal/engine/settings_test.go
@@ -14,8 +14,8 @@
 	"minttray/policy"
 )
 
-// whole has each field that settings.Decode reads.
-const whole = `{"balancers":3,"beyond-share-benefit":0.1,"blend":{"full-at-nines":2,"nines-part":0.2},
+// fullSettings has each field that settings.Decode reads.
+const fullSettings = `{"balancers":3,"beyond-share-benefit":0.1,"blend":{"full-at-nines":2,"nines-part":0.2},
 "categories":[{"benefit":2,"dedup-window-us":300000,"effect":"idempotency_key","group":"zone","name":"put","tardy-benefit":0.3,"target-latency-us":100000,"ttl-us":300000},
 {"benefit":1,"dedup-window-us":0,"effect":"read_like","group":"","name":"get","tardy-benefit":0,"target-latency-us":100000,"ttl-us":200000}],
 "index":1,"client-habits":{"marks-retry":true},
@@ -30,7 +30,7 @@
 // turn is absent, null, nothing, tiny or huge; whatever is taken plays ops against servers that answer, turn away, fail and are silent.
 func TestAnySettingsThatAreTakenServe(t *testing.T) {
 	var good any
-	if err := json.Unmarshal([]byte(whole), &good); err != nil {
+	if err := json.Unmarshal([]byte(fullSettings), &good); err != nil {
 		t.Fatal(err)
 	}
 	names := paths(good, "")
@@ -42,7 +42,7 @@
 	taken := 0
 	for _, path := range names {
 		for _, value := range []string{"absent", "null", "0", "1", "1e-9", "1000", "4294967296", "9000000000000000000", "1e300", "-1", `""`, `"x"`, "[]", "{}", "true", "false"} {
-			text := changed(path, value)
+			text := withValue(path, value)
 			s, err := settings.Decode([]byte(text))
 			if err != nil {
 				if !strings.HasPrefix(err.Error(), "settings: ") {
@@ -51,7 +51,7 @@
 				continue
 			}
 			taken++
-			if fault := serves(t, s); fault != "" {
+			if fault := runOps(t, s); fault != "" {
 				t.Errorf("%s %s: %s", path, value, fault)
 			}
 		}
@@ -76,10 +76,10 @@
 	return all
 }
 
-// changed is the whole text with one value in another's place.
-func changed(path, value string) string {
+// withValue is the whole text with one value in another's place.
+func withValue(path, value string) string {
 	var doc any
-	json.Unmarshal([]byte(whole), &doc)
+	json.Unmarshal([]byte(fullSettings), &doc)
 	var put func(v any, words []string) any
 	put = func(v any, words []string) any {
 		if len(words) == 0 {
@@ -107,14 +107,14 @@
 	return string(text)
 }
 
-// serves plays ops on an engine whose clock stands in the test's hand, and tells what went wrong.
-func serves(t *testing.T, from settings.Settings) (fault string) {
+// runOps plays ops on an engine whose clock stands in the test's hand, and tells what went wrong.
+func runOps(t *testing.T, from settings.Settings) (fault string) {
 	defer func() {
 		if p := recover(); p != nil {
 			fault = fmt.Sprint("panic: ", p)
 		}
 	}()
-	s := &ends{answers: map[string]int{}}
+	s := &variedServer{answers: map[string]int{}}
 	e := New(Options{Module: func(s policy.Settings, seed uint64, h policy.Host) Module { return policy.New(s, seed, h) }, Seed: 7, Settings: from.Policy,
 		MaxOps: 1000, MaxBytes: 1 << 20, Connect: func(m Member) Server { return s }})
 	var list []Member
@@ -128,17 +128,17 @@
 	}
 	e.Start(noCatalog{}, list)
 	turn := func(span time.Duration) {
-		e.origin = e.origin.Add(-span) // the clock goes on
+		e.clockStart = e.clockStart.Add(-span) // the clock goes on
 		for _, ev := range e.queue.take(nil) {
-			e.handle(ev.kind, ev.do)
+			e.handleEvent(ev.kind, ev.run)
 		}
-		e.fire()
+		e.fireTimers()
 		for _, done := range s.due {
 			done()
 		}
 		s.due = nil
 		for _, ev := range e.queue.take(nil) {
-			e.handle(ev.kind, ev.do)
+			e.handleEvent(ev.kind, ev.run)
 		}
 	}
 	const many = 200
@@ -146,7 +146,7 @@
 	for i := range many {
 		id := fmt.Sprint("op", i)
 		now := time.Now()
-		o := &Op{ReceivedAt: now, Key: uint64(i % 50), Category: i % len(from.Categories), Tenant: i % 3, IsRetry: i%7 == 0, Reply: one{s, id},
+		o := &Op{ReceivedAt: now, Key: uint64(i % 50), Category: i % len(from.Categories), Tenant: i % 3, IsRetry: i%7 == 0, Reply: answerCounter{s, id},
 			Request: Request{Key: "k", ID: id, Write: i%5 == 0, Deadline: deadline.After(now, time.Duration(100+i)*time.Millisecond)}}
 		if e.Submit(o) == nil {
 			taken++
@@ -167,14 +167,14 @@
 	return ""
 }
 
-// ends is all servers at once: they answer by turns, or not at all.
-type ends struct {
+// variedServer is all servers at once: they answer by turns, or not at all.
+type variedServer struct {
 	n       int
 	due     []func()
 	answers map[string]int
 }
 
-func (s *ends) Push(r *Request, until time.Time, done func(Result)) func(AbortCondition) bool {
+func (s *variedServer) Push(r *Request, until time.Time, done func(Result)) func(AbortCondition) bool {
 	s.n++
 	switch how := []policy.Outcome{policy.Acked, policy.Acked, policy.Miss, policy.Rejected, policy.Errored, policy.ConnectionLost, policy.ConnectFailed}[s.n%7]; {
 	case s.n%11 == 0: // it is silent
@@ -183,15 +183,15 @@
 	}
 	return func(when AbortCondition) bool { return when == Always }
 }
-func (s *ends) Release() {}
-func (s *ends) Retire()  {}
+func (s *variedServer) Release() {}
+func (s *variedServer) Retire()  {}
 
-type one struct {
-	s  *ends
+type answerCounter struct {
+	s  *variedServer
 	id string
 }
 
-func (o one) Acked([]byte)         { o.s.answers[o.id]++ }
-func (o one) Streamed(Body)        { o.s.answers[o.id]++ }
-func (o one) Nacked(time.Duration) { o.s.answers[o.id]++ }
-func (o one) DeadLettered()        { o.s.answers[o.id]++ }
+func (o answerCounter) Acked([]byte)         { o.s.answers[o.id]++ }
+func (o answerCounter) Streamed(Body)        { o.s.answers[o.id]++ }
+func (o answerCounter) Nacked(time.Duration) { o.s.answers[o.id]++ }
+func (o answerCounter) DeadLettered()        { o.s.answers[o.id]++ }
--- a/internal/engine/timers.go
+++ b/internal/engine/timers.go
@@ -7,9 +7,9 @@
 )
 
 type timer struct {
-	at  policy.Time
-	seq uint64 // timers due at one moment fire in the order in which they were set
-	do  func()
+	dueAt    policy.Time
+	seq      uint64 // timers due at one moment fire in the order in which they were set
+	callback func()
 }
 
 type timers struct {
@@ -20,7 +20,7 @@
 func (t *timers) Len() int { return len(t.heap) }
 func (t *timers) Less(i, j int) bool {
 	a, b := &t.heap[i], &t.heap[j]
-	return a.at < b.at || a.at == b.at && a.seq < b.seq
+	return a.dueAt < b.dueAt || a.dueAt == b.dueAt && a.seq < b.seq
 }
 func (t *timers) Swap(i, j int) { t.heap[i], t.heap[j] = t.heap[j], t.heap[i] }
 func (t *timers) Push(x any)    { t.heap = append(t.heap, x.(timer)) }
@@ -36,10 +36,10 @@
 	heap.Push(t, timer{at, t.seq, do})
 }
 
-// due takes the first timer if its time has come.
-func (t *timers) due(now policy.Time) func() {
-	if len(t.heap) == 0 || t.heap[0].at > now {
+// popDue takes the first timer if its time has come.
+func (t *timers) popDue(now policy.Time) func() {
+	if len(t.heap) == 0 || t.heap[0].dueAt > now {
 		return nil
 	}
-	return heap.Pop(t).(timer).do
+	return heap.Pop(t).(timer).callback
 }
--- a/internal/engine/types.go
+++ b/internal/engine/types.go
@@ -62,10 +62,10 @@
 
 	Trace Trace // when it came to each of its states
 
-	wait     time.Duration // of its client, from At on; set as it is submitted
-	held     *op           // the engine's record, once it has one
-	progress atomic.Uint32
-	came     atomic.Pointer[[]byte] // the value of an attempt's answer, as it came
+	clientWait time.Duration // of its client, from At on; set as it is submitted
+	record     *opRecord     // the engine's record, once it has one
+	progress   atomic.Uint32
+	ackedValue atomic.Pointer[[]byte] // the value of an attempt's answer, as it came
 }
 
 // Replier takes an op's one final answer. Its methods are called on the engine's goroutine and must not block.
--- a/internal/pulse/pulse.go
+++ b/internal/pulse/monitor.go
@@ -10,22 +10,22 @@
 const (
 	// BeatInterval is the longest time between two beats of a process that is run when it is due.
 	BeatInterval = 20 * time.Millisecond
-	// tolerated is a pause between two beats that counts as none: timers are late by some milliseconds on any busy machine.
-	tolerated = 2 * BeatInterval
+	// stallThreshold is a pause between two beats that counts as none: timers are late by some milliseconds on any busy machine.
+	stallThreshold = 2 * BeatInterval
 	// recovery is how long after a stall there may still be something to handle that came within it: all that piled up comes at once.
 	recovery = 5 * BeatInterval
 )
 
 // Monitor is fed by a goroutine that beats, and asked by all others. A nil one knows of no stall.
 type Monitor struct {
-	mu        sync.Mutex
-	last      time.Time // beat
-	stalled   time.Time // the last beat ahead of the last stall
-	recovered time.Time // the first one after it
+	mu         sync.Mutex
+	lastBeat   time.Time // beat
+	stallStart time.Time // the last beat ahead of the last stall
+	stallEnd   time.Time // the first one after it
 }
 
 // New makes a pulse that has beaten once.
-func New(now time.Time) *Monitor { return &Monitor{last: now} }
+func New(now time.Time) *Monitor { return &Monitor{lastBeat: now} }
 
 // Beat says that the process runs. It must come at least once in Every.
 func (p *Monitor) Beat(now time.Time) {
@@ -34,10 +34,10 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if now.Sub(p.last) > tolerated {
-		p.stalled, p.recovered = p.last, now
+	if now.Sub(p.lastBeat) > stallThreshold {
+		p.stallStart, p.stallEnd = p.lastBeat, now
 	}
-	p.last = now
+	p.lastBeat = now
 }
 
 // EarliestArrival is the earliest moment at which something may have come that waited for this process until now: now itself, unless the process
@@ -49,10 +49,10 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	switch {
-	case now.Sub(p.last) > tolerated:
-		return p.last
-	case !p.recovered.IsZero() && now.Sub(p.recovered) < recovery:
-		return p.stalled
+	case now.Sub(p.lastBeat) > stallThreshold:
+		return p.lastBeat
+	case !p.stallEnd.IsZero() && now.Sub(p.stallEnd) < recovery:
+		return p.stallStart
 	}
 	return now
 }
--- a/internal/state/snapshot.go
+++ b/internal/state/snapshot.go
@@ -15,18 +15,18 @@
 // SnapshotFile is the file in which what was learned outlives a restart. It belongs to one goroutine at a time.
 type SnapshotFile struct {
 	MaxAge, HalfLife time.Duration // age up to which one is taken, and after which it counts for half
-	KeyWindow         time.Duration // for which kept keys are known
+	KeyWindow        time.Duration // for which kept keys are known
 
 	path, proxy, settings string
 	lock                  *os.File
-	failed                int // writes in a row
-	next                  time.Time
+	failures              int // writes in a row
+	nextWrite             time.Time
 }
 
 // snapshot is what the file holds.
 type snapshot struct {
-	At       time.Time   `json:"at"`
-	Settings string      `json:"settings"`
+	At       time.Time         `json:"at"`
+	Settings string            `json:"settings"`
 	Memory   warm.LearnedState `json:"memory"`
 }
 
@@ -34,8 +34,8 @@
 var ErrNoSnapshot = errors.New("state: no snapshot")
 
 const (
-	ahead       = 2 * time.Second // clocks may differ by so much
-	mostDoubled = 6               // waits after writes that failed, in a row
+	maxClockSkew        = 2 * time.Second // clocks may differ by so much
+	maxBackoffDoublings = 6               // waits after writes that failed, in a row
 )
 
 // OpenSnapshotFile names the file of one proxy in a lasting directory. settings tells in short what it is learned under.
@@ -55,7 +55,7 @@
 // tells why what is there is not used.
 func (s *SnapshotFile) Load(now time.Time) (m *warm.LearnedState, age time.Duration, err error) {
 	var shot snapshot
-	if err := read(s.path, s.proxy, longestMemory, &shot); errors.Is(err, fs.ErrNotExist) {
+	if err := readFile(s.path, s.proxy, maxMemoryBytes, &shot); errors.Is(err, fs.ErrNotExist) {
 		return nil, 0, ErrNoSnapshot
 	} else if err != nil {
 		return nil, 0, err
@@ -63,7 +63,7 @@
 	switch age = now.Sub(shot.At); {
 	case shot.Settings != s.settings:
 		return nil, age, errors.New("state: learned under other settings")
-	case age < -ahead: // Danger: by a clock that was put back, it would never be old.
+	case age < -maxClockSkew: // Danger: by a clock that was put back, it would never be old.
 		return nil, age, fmt.Errorf("state: written %v from now: a clock was changed", -age)
 	case age > s.MaxAge:
 		return nil, age, fmt.Errorf("state: %v old, at most %v", age.Round(time.Millisecond), s.MaxAge)
@@ -100,16 +100,18 @@
 
 // Due tells whether to write now. After a write that failed it waits, longer with each in a row: a full disk is not tried
 // at every turn.
-func (s *SnapshotFile) Due(now time.Time) bool { return !now.Before(s.next) && s.AcquireWriteLock() }
+func (s *SnapshotFile) Due(now time.Time) bool {
+	return !now.Before(s.nextWrite) && s.AcquireWriteLock()
+}
 
 // Write puts what was learned in the place of what was there. first: the first failure in a row, which is worth a word.
 func (s *SnapshotFile) Write(m warm.LearnedState, now time.Time, every time.Duration) (first bool, err error) {
-	if err = write(s.path, s.proxy, snapshot{now, s.settings, m}); err != nil {
-		s.next = now.Add(every << min(s.failed, mostDoubled))
-		s.failed++
-		return s.failed == 1, err
+	if err = writeFile(s.path, s.proxy, snapshot{now, s.settings, m}); err != nil {
+		s.nextWrite = now.Add(every << min(s.failures, maxBackoffDoublings))
+		s.failures++
+		return s.failures == 1, err
 	}
-	s.failed, s.next = 0, now.Add(every)
+	s.failures, s.nextWrite = 0, now.Add(every)
 	return false, nil
 }
 
--- a/internal/state/snapshot_test.go
+++ b/internal/state/snapshot_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-func shots(dir, settings string) *SnapshotFile {
+func newSnapshotFile(dir, settings string) *SnapshotFile {
 	s := OpenSnapshotFile(dir, "n1", "a", settings)
 	s.MaxAge, s.HalfLife, s.KeyWindow = time.Minute, 10*time.Second, 4*time.Second
 	return s
@@ -17,23 +17,23 @@
 
 func TestSnapshotOutlivesItsProcess(t *testing.T) {
 	dir, now := t.TempDir(), time.Now()
-	s := shots(dir, "one")
+	s := newSnapshotFile(dir, "one")
 	if _, _, err := s.Load(now); !errors.Is(err, ErrNoSnapshot) {
 		t.Error(err)
 	}
-	if _, err := s.Write(learned, now, time.Second); err != nil || s.Due(now.Add(time.Second/2)) || !s.Due(now.Add(time.Second)) {
+	if _, err := s.Write(testMemory, now, time.Second); err != nil || s.Due(now.Add(time.Second/2)) || !s.Due(now.Add(time.Second)) {
 		t.Errorf("%v, or written too often", err)
 	}
-	m, age, err := shots(dir, "one").Load(now.Add(5 * time.Second))
+	m, age, err := newSnapshotFile(dir, "one").Load(now.Add(5 * time.Second))
 	if err != nil || age != 5*time.Second || len(m.RecentKeys) > 0 || m.Caches[7].Record.Sent.Sum() != 4 || m.Caches[7].Record.Done.Sum() != 0 {
 		t.Errorf("%+v, %v old, %v", m, age, err)
 	}
 	for want, take := range map[string]func() error{
-		"other settings": func() error { _, _, err := shots(dir, "two").Load(now); return err },
-		"clock":          func() error { _, _, err := shots(dir, "one").Load(now.Add(-time.Hour)); return err },
-		"at most":        func() error { _, _, err := shots(dir, "one").Load(now.Add(time.Hour)); return err },
+		"other settings": func() error { _, _, err := newSnapshotFile(dir, "two").Load(now); return err },
+		"clock":          func() error { _, _, err := newSnapshotFile(dir, "one").Load(now.Add(-time.Hour)); return err },
+		"at most":        func() error { _, _, err := newSnapshotFile(dir, "one").Load(now.Add(time.Hour)); return err },
 		"of proxy": func() error {
-			other := shots(dir, "one")
+			other := newSnapshotFile(dir, "one")
 			other.proxy = "n2"
 			_, _, err := other.Load(now)
 			return err
@@ -48,8 +48,8 @@
 // Danger: a process that was killed as it wrote leaves half a file, and the next takes it for whole, or falls over it.
 func TestTornSnapshotsAreRefused(t *testing.T) {
 	dir, now := t.TempDir(), time.Now()
-	s := shots(dir, "one")
-	s.Write(learned, now, time.Second)
+	s := newSnapshotFile(dir, "one")
+	s.Write(testMemory, now, time.Second)
 	text, err := os.ReadFile(s.path)
 	if err != nil {
 		t.Fatal(err)
@@ -69,12 +69,12 @@
 	half := filepath.Join(dir, "."+filepath.Base(s.path)+"123")
 	os.WriteFile(half, text[:100], 0o600)
 	os.Chtimes(half, now.Add(-time.Hour), now.Add(-time.Hour))
-	if shots(dir, "one"); len(files(t, dir)) != 1 {
-		t.Errorf("what was left half written stays: %v", files(t, dir))
+	if newSnapshotFile(dir, "one"); len(fileNames(t, dir)) != 1 {
+		t.Errorf("what was left half written stays: %v", fileNames(t, dir))
 	}
 }
 
-func files(t *testing.T, dir string) (names []string) {
+func fileNames(t *testing.T, dir string) (names []string) {
 	all, err := os.ReadDir(dir)
 	if err != nil {
 		t.Fatal(err)
@@ -87,12 +87,12 @@
 
 // Danger: a disk that is full, read-only or gone takes the proxy with it, or fills its log.
 func TestADiskThatTakesNothing(t *testing.T) {
-	s, now := shots(filepath.Join(t.TempDir(), "gone"), "one"), time.Now()
+	s, now := newSnapshotFile(filepath.Join(t.TempDir(), "gone"), "one"), time.Now()
 	tried, told := 0, 0
 	for range 1000 {
 		if now = now.Add(time.Second); s.Due(now) {
 			tried++
-			first, err := s.Write(learned, now, time.Second)
+			first, err := s.Write(testMemory, now, time.Second)
 			if err == nil {
 				t.Fatal("written nowhere")
 			}
@@ -108,7 +108,7 @@
 
 func TestOneOfTwoProcessesWrites(t *testing.T) {
 	dir, now := t.TempDir(), time.Now()
-	old, next := shots(dir, "one"), shots(dir, "one")
+	old, next := newSnapshotFile(dir, "one"), newSnapshotFile(dir, "one")
 	if !old.Due(now) || next.Due(now) {
 		t.Error("both write, or neither")
 	}
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -98,7 +98,7 @@
 	}
 }
 
-var learned = warm.LearnedState{Caches: map[uint32]warm.ServerState{7: {Name: "s-1", Start: 5, LatencyBins: []float64{0, 8},
+var testMemory = warm.LearnedState{Caches: map[uint32]warm.ServerState{7: {Name: "s-1", Start: 5, LatencyBins: []float64{0, 8},
 	Record: evidence.Record{Sent: evidence.Window{3, 1}, Done: evidence.Window{9}, Limit: 2.5, Good: 8}}}, LatencyBins: []float64{1, 2},
 	RecentKeys: []uint64{1 << 63, 5}, HotKeys: []warm.HotKey{{Key: 9, Count: 4}}, KeyRequests: 100, Tokens: []float64{-3, 4},
 	ClientTimeouts: []warm.ClientTimeout{{Timeout: 500, Votes: 8}}, Kinds: []warm.MachineKind{{OctavesSlower: 0.5, MeanLog2: 3, Samples: 9, ReportBaseline: 20}}}
@@ -110,7 +110,7 @@
 		t.Error("given by nobody")
 	}
 	give := func(at time.Time) {
-		if err := old.WriteHandover(Handover{At: at, Memory: learned}); err != nil {
+		if err := old.WriteHandover(Handover{At: at, Memory: testMemory}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -140,7 +140,7 @@
 // Words on sites outlive their process as long as they can matter, and one that can't be meant is refused.
 func TestWordsOnSites(t *testing.T) {
 	dir := t.TempDir()
-	s, ago := Open(dir, "n1", "127.0.0.1:1"), time.Now().Add(-backFor-2*time.Second)
+	s, ago := Open(dir, "n1", "127.0.0.1:1"), time.Now().Add(-returnRetention-2*time.Second)
 	put := func(name string, w SiteOverride) {
 		if err := s.Update(func(all *Overrides) {
 			if all.Sites == nil {
