--- a/internal/deadline/deadline.go
+++ b/internal/deadline/deadline.go
@@ -1,6 +1,6 @@
-// Package deadline owns a request's deadline: the moment at which its client stops waiting. It is made once, where the request is read,
-// on the monotonic clock, and can only be lowered from there on. What an attempt passes to its server is computed from it as the attempt is
-// written, and the client's own figure is cut out of the request as that is read, so that no caller can pass it on.
+// Package deadline holds a request's deadline: the time at which its client stops waiting. The deadline is set once, when the request is
+// read, on the monotonic clock, and can only be lowered afterwards. The deadline that an attempt sends to its server is computed when the
+// attempt is written. The client's own value is removed when the request is read, so that no caller can forward it unchanged.
 package deadline
 
 import (
@@ -9,13 +9,13 @@
 	"time"
 )
 
-// Deadline is the moment at which a request's client stops waiting. The zero value has passed long ago.
+// Deadline is the time at which a request's client stops waiting. The zero value has expired.
 type Deadline struct{ at time.Time }
 
-// After is the deadline of a request that was received at a moment, and whose client waits for so long from then on.
+// After returns the deadline of a request received at the given time whose client waits for the given duration.
 func After(received time.Time, wait time.Duration) Deadline { return Deadline{received.Add(wait)} }
 
-// AtMost is the deadline, or the given moment if that is earlier.
+// AtMost returns the earlier of the deadline and the given time.
 func (d Deadline) AtMost(latest time.Time) Deadline {
 	if latest.Before(d.at) {
 		return Deadline{latest}
@@ -23,46 +23,46 @@
 	return d
 }
 
-// Remaining is how long the client still waits.
+// Remaining returns how long the client still waits; it is negative after the deadline.
 func (d Deadline) Remaining(now time.Time) time.Duration { return d.at.Sub(now) }
 
-// Transfer is how a request travels to its server.
+// Transfer is how a request is written to its server.
 type Transfer uint8
 
 const (
-	SingleWrite    Transfer = iota // in one write
-	MultipleWrites                 // a long value, in many writes
+	SingleWrite    Transfer = iota // the whole request in one write
+	MultipleWrites                 // a long value, streamed in several writes
 )
 
-// A server begins a request when its last byte has come, and that is later than the clock was read: by what a busy system, or a slow
-// reader, holds the write up. So much of what is left is kept back for that, and a write that takes longer is broken off. The margin is
-// a share of what is left, so that it fits deadlines of any length; operators tolerate 150 ms more, which stay for a process that is itself
-// held up between its clock and its write.
+// A server starts a request when its last byte has arrived, which is later than the proxy read its clock: a busy system or a slow reader
+// may hold up the write. A margin is therefore subtracted from the remaining time, and a write that takes longer is aborted. The margin is
+// a fraction of the remaining time so that it suits deadlines of any length. Operators tolerate a further 150 ms, which is reserved for a
+// process that is stalled between reading its clock and writing.
 const (
-	singleWriteMargin   = 16 // one part in so many, of what is left
+	singleWriteMargin   = 16 // divisor of the remaining time
 	multipleWriteMargin = 4
 )
 
-// minDeadline is the shortest deadline that can be passed: it travels in whole milliseconds.
+// minDeadline is the shortest deadline that can be sent, as the wire format has whole milliseconds.
 const minDeadline = time.Millisecond
 
-// ErrNoTime means that so little is left that no deadline can be passed: the attempt must not be written.
+// ErrNoTime means that too little time remains to send a deadline. The attempt must not be written.
 var ErrNoTime = errors.New("no time is left for an attempt")
 
-// AttemptDeadline is the deadline that one attempt passes to its server.
+// AttemptDeadline is the deadline that one attempt sends to its server.
 type AttemptDeadline struct {
-	milliseconds int64 // what the server is told to have
+	milliseconds int64 // time the server is given
 	writeBy      time.Time
 }
 
-// ForAttempt computes what an attempt passes that is written now, and whose answer the proxy waits for until a moment of its own.
-func (d Deadline) ForAttempt(now, until time.Time, how Transfer) (AttemptDeadline, error) {
-	left := d.Remaining(now)
-	margin := left / singleWriteMargin
-	if how == MultipleWrites {
-		margin = left / multipleWriteMargin
+// ForAttempt computes the deadline of an attempt that is written now. The proxy itself stops waiting for the attempt's answer at until.
+func (d Deadline) ForAttempt(now, until time.Time, transfer Transfer) (AttemptDeadline, error) {
+	remaining := d.Remaining(now)
+	margin := remaining / singleWriteMargin
+	if transfer == MultipleWrites {
+		margin = remaining / multipleWriteMargin
 	}
-	wait := min(left-margin, until.Sub(now))
+	wait := min(remaining-margin, until.Sub(now))
 	if wait < minDeadline {
 		return AttemptDeadline{}, ErrNoTime
 	}
@@ -70,21 +70,21 @@
 	return AttemptDeadline{wait.Milliseconds(), d.at.Add(-wait)}, nil
 }
 
-// WriteBy is when the attempt's last byte must have been written: later, the server would be told more than is left.
+// WriteBy returns the time by which the attempt's last byte must be written. After it the server would be given more time than remains.
 func (p AttemptDeadline) WriteBy() time.Time { return p.writeBy }
 
-// Properties are a request's names and values as its client sent them, but for the client's own deadline.
+// Properties holds a request's property list as its client sent it, without the client's deadline value.
 type Properties struct{ before, after string }
 
-// RemoveDeadline takes the client's deadline, which stands from one place to another, out of a list.
+// RemoveDeadline returns the list without the client's deadline, which occupies list[from:to].
 func RemoveDeadline(list string, from, to int) Properties { return Properties{list[:from], list[to:]} }
 
-// Size is the length of what is kept.
+// Size returns the length of the list without the deadline value, in bytes.
 func (p Properties) Size() int { return len(p.before) + len(p.after) }
 
-// Append adds the list with what an attempt passes in the place of the client's deadline; all else is as it came.
-func (p Properties) Append(b []byte, passed AttemptDeadline) []byte {
+// Append appends the list to b with the attempt's deadline in place of the client's; everything else is unchanged.
+func (p Properties) Append(b []byte, attempt AttemptDeadline) []byte {
 	b = append(b, p.before...)
-	b = strconv.AppendInt(b, passed.milliseconds, 10)
+	b = strconv.AppendInt(b, attempt.milliseconds, 10)
 	return append(b, p.after...)
 }
--- a/internal/deadline/deadline_test.go
+++ b/internal/deadline/deadline_test.go
@@ -13,7 +13,7 @@
 	for name, c := range map[string]struct {
 		wait, waited, until time.Duration
 		how                 Transfer
-		milliseconds        int64 // 0: no attempt
+		milliseconds        int64 // 0: ErrNoTime is expected
 	}{
 		"at once":                    {480 * time.Millisecond, 0, never, SingleWrite, 450},
 		"later":                      {480 * time.Millisecond, 160 * time.Millisecond, never, SingleWrite, 300},
@@ -40,8 +40,8 @@
 	}
 }
 
-// Whatever is drawn: what is passed is at least a millisecond, never more than is left up to WriteBy, and no less than what is left or waited
-// for, less the margin and the rounding.
+// Guards against a server being given more time than its client waits. For any input, the deadline sent is at least a millisecond, never
+// exceeds the time remaining at WriteBy, and is lower than the allowed maximum by less than the rounding to milliseconds.
 func TestPassedIsWithinWhatIsLeft(t *testing.T) {
 	start := time.Now()
 	rapid.Check(t, func(t *rapid.T) {
@@ -71,7 +71,7 @@
 	})
 }
 
-// A deadline can only be lowered.
+// A deadline must never be extended after it was set.
 func TestAtMostOnlyLowers(t *testing.T) {
 	now := time.Now()
 	d := After(now, time.Second)
--- a/internal/engine/counters.go
+++ b/internal/engine/counters.go
@@ -11,23 +11,23 @@
 // Counters belong to the engine's goroutine; read them through Do.
 type Counters struct {
 	Taken, Acked, Nacked, DeadLettered int
-	ClientsLeft                        int // clients gone before their answer
-	AnsweredAtShutdown                 int // answered as the process ended
-	Withdrawn                          int // pushes taken back before a byte of them was written
+	ClientsLeft                        int // clients that left before their answer
+	AnsweredAtShutdown                 int // ops answered by AnswerAllOpen
+	Withdrawn                          int // pushes aborted before a byte of them was written
 	OverdueOps, LateAnswers            int // both stay 0 while the module keeps its contract
 	Sent                               int
 	Pushes                             [policy.Miss + 1]int // by outcome
 	Lists                              int
-	Reports                            int // load reports that told how long ops take
-	InvalidReports                     int // and those that were there, but told nothing that can be
-	Probes, ProbesFailed               int // probes sent, and those that brought no report
+	Reports                            int // load reports with a latency
+	InvalidReports                     int // load reports that were unusable
+	Probes, ProbesFailed               int // probes sent, and probes that brought no report
 	Judged                             policy.Counts
-	MaxQueueLength                     int // queue length
+	MaxQueueLength                     int // events in one batch
 	MaxQueueDelay, MaxBatchDuration    time.Duration
 	MaxEventDuration                   time.Duration
 	MaxEventKind                       eventKind
-	ListEntries                        int           // of the last list, the origin among them
-	MaxListDuration                    time.Duration // that one list took
+	ListEntries                        int           // entries of the current list, including the origin
+	MaxListDuration                    time.Duration // time to apply one list
 }
 
 var outcomeNames = [policy.Miss + 1]string{"acked", "errored", "full", "timed_out", "connect_failed", "broken",
--- a/internal/engine/deadline_test.go
+++ b/internal/engine/deadline_test.go
@@ -9,7 +9,7 @@
 	"minttray/policy"
 )
 
-// requestCapture is a server that hands each attempt's request to the test.
+// requestCapture is a server that passes each push's request to the test.
 type requestCapture struct{ requests chan *Request }
 
 func (p requestCapture) Push(r *Request, _ time.Time, _ func(Result)) func(AbortCondition) bool {
@@ -19,7 +19,7 @@
 func (requestCapture) Release() {}
 func (requestCapture) Retire()  {}
 
-// What an attempt may pass is bounded by the TTL of the request's category as well, by the settings as it came.
+// Guards against a push with a deadline beyond its category's TTL, under the settings in force when the op arrived.
 func TestADeadlineIsNoLaterThanTheCategorysTTL(t *testing.T) {
 	const ttl = 2 * time.Second
 	servers := requestCapture{make(chan *Request, 9)}
@@ -40,12 +40,12 @@
 	}
 }
 
-// An engine with nothing to do beats: else each of its rests would look like a stall of the process.
+// Guards against an idle engine being taken for a stalled process: it must beat while it has nothing to do.
 func TestAnEngineThatRestsBeats(t *testing.T) {
 	const rest = 500 * time.Millisecond
 	beat := pulse.New(time.Now())
 	startEngine(t, func(o *Options) { o.StallMonitor, o.Settings.Tick = beat, policy.Time(time.Hour/timeUnit) })
-	time.Sleep(rest) // and what may have stalled ahead of the first beat is over
+	time.Sleep(rest) // a stall before the first beat is over by now
 	beats := 0
 	for begun := time.Now(); time.Since(begun) < rest; time.Sleep(time.Millisecond) {
 		if now := time.Now(); beat.EarliestArrival(now).Equal(now) {
--- a/internal/engine/endings_test.go
+++ b/internal/engine/endings_test.go
@@ -9,7 +9,7 @@
 	"minttray/policy"
 )
 
-// countLines counts what the stage has met that begins so.
+// countLines counts the recorded lines with a prefix.
 func (s *recorder) countLines(start string) (n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -27,7 +27,7 @@
 	return s.log[at]
 }
 
-// opEnds are the ways in which an op ends while a push for it is out.
+// opEnds are the ways in which an op ends while a push for it is open.
 var opEnds = map[string]func(e *Engine, o *Op){
 	"its client has left":  func(e *Engine, o *Op) { e.Abandon(o) },
 	"the process ends":     func(e *Engine, o *Op) { e.AnswerAllOpen(eventTimeout) },
@@ -35,12 +35,12 @@
 	"it was answered late": func(e *Engine, o *Op) { e.Do(func(e *Engine) { e.Nack(o.record.id, 0) }) },
 }
 
-// Danger: where servers take no cancelling, a push that still dials as its op ends is written after the op's answer, or for a
-// client that has left. What no server has heard of is withdrawn, whatever the settings say.
+// Guards against a push that is still dialing when its op ends being written after the op's answer or its client's leaving. Pushes that no
+// server has seen are withdrawn even where servers do not support cancelling.
 func TestWhatIsNotWrittenEndsWithItsOp(t *testing.T) {
 	for name, end := range opEnds {
 		for _, cancelling := range []bool{false, true} {
-			for category := range 3 { // an at-most-once op as well
+			for category := range 3 { // includes an at-most-once op
 				t.Run(fmt.Sprint(name, cancelling, category), func(t *testing.T) {
 					e, s := startEngine(t, func(o *Options) { o.Settings.Cancelling = cancelling })
 					s.pushesUnwritten = true
@@ -58,8 +58,8 @@
 	}
 }
 
-// Danger: an op has its answer, or its client has left, while its push lies in the system's buffer for a cache that hangs: it is sent on once
-// that is back, maybe after this process has ended. What the settings say of cancelling does not matter: no server has it.
+// Guards against a push in the kernel's send buffer for a hanging cache being delivered after its op has ended, maybe after this process has.
+// It is aborted whatever the settings say about cancelling, as no server has it.
 func TestWhatHasNotComeEndsWithItsOp(t *testing.T) {
 	for name, end := range opEnds {
 		for category := range 3 {
@@ -79,7 +79,7 @@
 	}
 }
 
-// What was written runs on under its rule: it is not given up where servers take no cancelling.
+// A push that was written is not aborted where servers do not support cancelling.
 func TestWhatIsWrittenRunsOn(t *testing.T) {
 	e, s := startEngine(t, func(o *Options) { o.Settings.Cancelling = false })
 	o := s.op("a", 2)
@@ -95,8 +95,8 @@
 	}
 }
 
-// Danger: under a burst the engine comes to an op long after its client has left, and would push for nobody. And a connection
-// may end between an op's place and its handing in, so that the leaving comes first.
+// Guards against pushes for clients that left while the engine was lagging. A connection may also end between the reading of an op and its
+// Submit, so that Abandon comes first.
 func TestClientThatLeavesWhileTheEngineIsBehind(t *testing.T) {
 	for name, play := range map[string]func(e *Engine, o *Op){
 		"behind its op":   func(e *Engine, o *Op) { e.Submit(o); e.Abandon(o) },
@@ -112,7 +112,7 @@
 				play(e, o)
 			}
 			stop, ended := make(chan struct{}), make(chan struct{})
-			go func() { e.Run(stop); close(ended) }() // it comes to all of them only now
+			go func() { e.Run(stop); close(ended) }() // the engine sees the ops only now
 			c := drainQueue(e)
 			close(stop)
 			<-ended
@@ -123,7 +123,7 @@
 	}
 }
 
-// Danger: between an op's arrival and its push its client may leave; the word of that stands in the queue still.
+// Guards against a push for a client that left between the op's arrival and the push, while the Abandon event is still queued.
 func TestAPushForAClientThatHasJustLeft(t *testing.T) {
 	e, s := startEngine(t, nil)
 	o := s.op("a", 0)
@@ -132,7 +132,7 @@
 	held, seen := make(chan bool), make(chan bool)
 	e.Do(func(*Engine) { close(seen); <-held })
 	<-seen
-	s.answer(at, Result{Outcome: policy.Rejected}) // another cache would be asked
+	s.answer(at, Result{Outcome: policy.Rejected}) // another cache would be tried next
 	e.Abandon(o)
 	close(held)
 	if c := drainQueue(e); c.ClientsLeft+c.Nacked != 1 || c.Sent != 1 || s.countLines("push") != 1 || e.opCount.Load() != 0 {
@@ -140,7 +140,7 @@
 	}
 }
 
-// Danger: a push that dials, or waits for another connection, as its cache begins to drain is written when the grace is over.
+// Guards against a push that is dialing or waiting for a connection when its cache starts to drain being written after the grace period.
 func TestADrainTakesBackWhatIsNotWritten(t *testing.T) {
 	at := func(id uint32, state policy.State, change func(*Member)) Member {
 		m := member(id, state)
@@ -152,7 +152,7 @@
 	for name, list := range map[string]struct {
 		kind    policy.ListKind
 		members func(first, other uint32) []Member
-		again   bool // the same cache may be asked again
+		again   bool // the same cache may be tried again
 	}{
 		"drains": {policy.ListDelta, func(f, o uint32) []Member { return []Member{at(f, policy.Draining, nil)} }, false},
 		"drains, by the whole list": {policy.ListFull, func(f, o uint32) []Member {
@@ -169,7 +169,7 @@
 			return []Member{at(f, policy.Ready, func(m *Member) { m.Start = 1 })}
 		}, true},
 	} {
-		for _, probing := range []bool{false, true} { // a probe is something new as well
+		for _, probing := range []bool{false, true} { // probes must be withdrawn as well
 			t.Run(fmt.Sprint(name, probing), func(t *testing.T) {
 				e, s := startEngine(t, func(o *Options) { o.Settings.Probing = probing })
 				e.Submit(s.op("a", 0))
@@ -198,8 +198,8 @@
 	}
 }
 
-// Danger: the engine comes to an operator's call just as the caller's time runs out: the caller is told no, and it is done all the same.
-// What has begun by then is waited for; what has not is never done.
+// Guards against a call that returns ErrBusy but takes effect: the engine may begin it just as the caller's time runs out. A call that has
+// begun is awaited; one that has not never runs.
 func TestACallIsDoneOrNotDone(t *testing.T) {
 	const span = 20 * time.Millisecond
 	e, _ := startEngine(t, nil)
@@ -210,10 +210,10 @@
 	}()
 	<-begun
 	ran := make(chan bool, 1)
-	if err := e.runCall(10*span, func() error { ran <- true; return nil }); err != ErrBusy { // the engine stands in the first
+	if err := e.runCall(10*span, func() error { ran <- true; return nil }); err != ErrBusy { // the engine is blocked in the first call
 		t.Errorf("%v, though nothing was done", err)
 	}
-	early := len(said) > 0 // by now the first is far past its time, ten times over
+	early := len(said) > 0 // by now ten times the first call's span has passed
 	close(hold)
 	if err := <-said; err != nil || early {
 		t.Errorf("told %v, early %v, and it is done", err, early)
@@ -224,7 +224,7 @@
 	}
 }
 
-// What is written stays: a drain is no cancelling.
+// A push that was written is not aborted by a drain.
 func TestADrainLeavesWhatIsWritten(t *testing.T) {
 	e, s := startEngine(t, nil)
 	e.Submit(s.op("a", 2))
@@ -238,8 +238,8 @@
 	}
 }
 
-// Danger: a repeat is let go within the window in which caches drop it, and is written behind that, as its connection comes up late: the op
-// runs twice. A repeat that no window has run out for goes on.
+// Guards against an op running twice: a repeat starts within the caches' deduplication window, but its connection is established late and it
+// is written after the window. Ops without a window in force are not affected.
 func TestARepeatIsNotWrittenBehindItsWindow(t *testing.T) {
 	for name, c := range map[string]struct {
 		effect policy.Effect
@@ -259,11 +259,11 @@
 			e.Submit(s.op("a", 2))
 			at := s.await(0, "push cache")
 			s.mu.Lock()
-			s.pushesUnwritten = true // from here on: the repeat's connection does not come up
+			s.pushesUnwritten = true // the repeat's connection is never established
 			s.mu.Unlock()
 			s.answer(at, c.first)
 			again := s.await(at+1, "push cache")
-			s.await(again, "taken back cache", "given up cache") // its window is over, or its time
+			s.await(again, "taken back cache", "given up cache") // its window or its time is over
 			s.await(again, "dead-lettered a", "nacked a")
 			if got := drainQueue(e); (got.Withdrawn > 0) != c.taken {
 				t.Errorf("%+v", got)
@@ -275,8 +275,8 @@
 	}
 }
 
-// Danger: a repeat has been written, but lies in the system's buffer for a cache that hangs as the window runs out in which caches drop it:
-// the cache takes it once it is back, and the op runs twice. One that has come to its cache goes on.
+// Guards against an op running twice: a repeat was written but is in the kernel's send buffer for a hanging cache when the deduplication
+// window ends, and the cache would take it later. A repeat that the cache has received goes on.
 func TestARepeatThatHasNotComeEndsWithItsWindow(t *testing.T) {
 	for _, unsent := range []bool{true, false} {
 		t.Run(fmt.Sprint(unsent), func(t *testing.T) {
@@ -301,8 +301,8 @@
 	}
 }
 
-// Danger: an at-most-once op whose connection has not come up by its time is answered as one that may have run; its client must not try
-// again, though nothing was sent. One that was written may have run, and its client is told so.
+// Guards against telling a client that its op may have run when no connection was established and nothing was sent. If the push was written,
+// the op may have run and the client must be told so.
 func TestWhatNeverCameUpHasNeverRun(t *testing.T) {
 	for _, unwritten := range []bool{true, false} {
 		for _, effect := range []policy.Effect{policy.AtMostOnce, policy.Deduplicated} {
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -17,71 +17,71 @@
 )
 
 const (
-	timeUnit     = 100 * time.Microsecond // of policy.Time
-	overdueGrace = 200                    // policy.Time after an op's TTL at which the engine ends it by itself
+	timeUnit     = 100 * time.Microsecond // duration of one unit of policy.Time
+	overdueGrace = 200                    // time after an op's TTL at which the engine itself ends the op, in policy.Time
 
-	probeTimeout = 2500 // policy.Time for which a probe's answer is waited for
+	probeTimeout = 2500 // how long a probe's answer is awaited, in policy.Time
 )
 
-// Options is what an engine is made of.
+// Options configures an engine.
 type Options struct {
-	Module       func(s policy.Settings, seed uint64, h policy.Host) Module // makes what decides
+	Module       func(s policy.Settings, seed uint64, h policy.Host) Module // creates the decision module
 	Settings     policy.Settings
 	Seed         uint64
 	Connect      func(m Member) Server
 	Logger       zerolog.Logger
-	MaxOps       int            // held at once, at first
-	MaxBytes     int64          // of requests held at once
-	StallMonitor *pulse.Monitor // the engine's goroutine feeds it; nil: nobody asks
+	MaxOps       int            // initial limit of ops open at once
+	MaxBytes     int64          // limit of the total size of open requests
+	StallMonitor *pulse.Monitor // receives beats from the engine's goroutine; may be nil
 
-	// What another process hands over, by the caches' names.
-	CachesOut  []string             // out by an operator's word
-	ReturnedAt map[string]time.Time // were so until then, and have been cold since
-	Memory     *warm.LearnedState   // what was learned; nil: nothing
+	// State handed over by another process, by cache name.
+	CachesOut  []string             // caches an operator took out of service
+	ReturnedAt map[string]time.Time // caches that were out until then and have been cold since
+	Memory     *warm.LearnedState   // learned state; nil: none
 
-	Sites map[int]SiteOverride // what operators said of whole zones
+	Sites map[int]SiteOverride // operators' overrides by zone
 }
 
-// Engine is the module's host. All fields below the queue belong to its goroutine.
+// Engine hosts the decision module. The fields below module belong to the engine's goroutine.
 type Engine struct {
 	Options
 	Counters     Counters
 	queue        queue
 	maxOps       atomic.Int64
-	opCount      atomic.Int64 // held, from Submit to the last push's end
+	opCount      atomic.Int64 // open ops, from Submit to the end of the last push
 	byteCount    atomic.Int64
 	ids          *recentIDs
-	shuttingDown atomic.Bool // all is handed back, and nothing is taken
+	shuttingDown atomic.Bool // set by AnswerAllOpen: no further ops are accepted
 	unanswered   unansweredOps
-	oldestEvent  atomic.Int64 // since when the event in hand has waited, in nanoseconds since origin; 0: none is
+	oldestEvent  atomic.Int64 // when the current event was queued, in nanoseconds since clockStart; 0: none is being handled
 	lagResponder *lagResponder
 
 	module        Module
 	catalog       Catalog
-	clockStart    time.Time   // of the monotonic clock
-	clockOffset   policy.Time // origin, since 1970
-	now           policy.Time // stands still while one event is handled
+	clockStart    time.Time   // start of the monotonic clock
+	clockOffset   policy.Time // clockStart as time since 1970
+	now           policy.Time // constant while one event is handled
 	timers        timers
-	deferred      []func() // what a host call brought about at once: told after the module has returned
+	deferred      []func() // consequences of host calls, run after the module has returned
 	records       map[uint32]*opRecord
 	lastID        uint32
 	servers       map[uint32]*server
-	cachesOut     map[string]bool // caches out by an operator's word
+	cachesOut     map[string]bool // caches an operator took out of service
 	returnedAt    map[string]policy.Time
-	siteSchedules map[int]site.Hand[policy.Time] // operators' words on whole zones
-	siteTimerSet  bool                           // some caches have their turn ahead of them
-	departed      map[string]policy.Time         // caches that have gone, while the list does not name them: when they had started
+	siteSchedules map[int]site.Hand[policy.Time] // operators' overrides of whole zones
+	siteTimerSet  bool                           // the timer for caches that still have to follow a site override is set
+	departed      map[string]policy.Time         // start times of caches that left the list
 }
 
 type server struct {
 	Server
 	member      Member
 	start       policy.Time
-	probing     bool   // a probe is out
-	cancelProbe func() // takes that back, unless it is written
+	probing     bool   // a probe is in flight
+	cancelProbe func() // aborts the probe if it is not written yet
 }
 
-// abortUnwrittenProbe takes a probe back that is not written yet.
+// abortUnwrittenProbe aborts a probe that is not written yet.
 func (s *server) abortUnwrittenProbe() {
 	if s.cancelProbe != nil {
 		s.cancelProbe()
@@ -93,12 +93,12 @@
 	id         uint32
 	ttl        policy.Time
 	pushCount  int // pushes so far
-	maxPushes  int // that it may have
+	maxPushes  int // limit of pushes
 	openPushes []*push
 
 	effect      policy.Effect
-	dedupWindow policy.Time // for which a repeat is dropped; 0: the op is not deduplicated
-	firstRunAt  policy.Time // the first push that may have run; 0: none
+	dedupWindow policy.Time // time within which caches drop a repeat; 0: the op is not deduplicated
+	firstRunAt  policy.Time // time of the first push that may have run; 0: none
 	ended       bool        // answered, or its client has left
 	size        int64
 }
@@ -110,7 +110,7 @@
 	abort  func(AbortCondition) bool
 }
 
-// New makes an engine; Run starts it.
+// New creates an engine; Run starts it.
 func New(o Options) *Engine {
 	e := &Engine{Options: o, records: map[uint32]*opRecord{}, servers: map[uint32]*server{}, cachesOut: map[string]bool{}, returnedAt: map[string]policy.Time{},
 		departed: map[string]policy.Time{}, clockStart: time.Now()}
@@ -122,34 +122,34 @@
 	e.maxOps.Store(int64(o.MaxOps))
 	e.queue.wake = make(chan struct{}, 1)
 	e.ids = newRecentIDs(maxOpDuration(o.Settings))
-	// The clock counts from 1970, so that a cache's start needs no shift; it is read once and then only runs on
-	// monotonically, whatever is done to the machine's clock.
+	// The clock counts from 1970, like the caches' start times. The wall clock is read once; from then on the clock is monotonic, so
+	// changes of the machine's clock have no effect.
 	e.clockOffset = policy.Time(e.clockStart.UnixNano() / int64(timeUnit))
 	e.now = e.clockOffset
-	for name, at := range o.ReturnedAt {
-		e.returnedAt[name] = e.clockOffset + policy.Time(at.Sub(e.clockStart)/timeUnit)
+	for name, returned := range o.ReturnedAt {
+		e.returnedAt[name] = e.clockOffset + policy.Time(returned.Sub(e.clockStart)/timeUnit)
 	}
 	return e
 }
 
-// maxOpDuration is how long an op may be open.
+// maxOpDuration returns how long an op may stay open.
 func maxOpDuration(s policy.Settings) time.Duration {
-	longest := policy.Time(time.Second / timeUnit)
+	maxTTL := policy.Time(time.Second / timeUnit)
 	for _, c := range s.Categories {
-		longest = max(longest, c.TTL)
+		maxTTL = max(maxTTL, c.TTL)
 	}
-	return time.Duration(longest+overdueGrace) * timeUnit
+	return time.Duration(maxTTL+overdueGrace) * timeUnit
 }
 
-// Start makes the module and tells it the list as last had. It comes before Run and before the first op.
+// Start creates the module and passes it the cached list. It must be called before Run and before the first Submit.
 func (e *Engine) Start(catalog Catalog, known []Member) {
 	e.catalog = catalog
 	e.module = e.Options.Module(e.Settings, e.Seed, e)
 	if e.Memory != nil {
-		// Danger: the list as last had may be older than what was known at the last end, and name a cache in use that drains.
-		// Its next word on that counts again.
+		// The cached list may be older than the snapshot and show a cache as ready that was draining when the process ended. The next
+		// list from discovery takes precedence again.
 		for i, m := range known {
-			if start, ok := e.Memory.Departed[m.Name]; ok && int64(m.Start) <= start && m.State == policy.Ready {
+			if departedAt, ok := e.Memory.Departed[m.Name]; ok && int64(m.Start) <= departedAt && m.State == policy.Ready {
 				known[i].State = policy.Draining
 			}
 		}
@@ -158,21 +158,21 @@
 	e.runDeferred()
 }
 
-// Run serves until stop is closed.
+// Run handles events until stop is closed.
 func (e *Engine) Run(stop <-chan struct{}) {
-	clock := time.NewTimer(time.Hour)
-	defer clock.Stop()
+	wakeup := time.NewTimer(time.Hour)
+	defer wakeup.Stop()
 	defer e.lagResponder.stop()
 	var events []event
 	for {
 		if wait, bounded := e.nextWakeup(); bounded {
-			clock.Reset(wait)
+			wakeup.Reset(wait)
 		}
 		select {
 		case <-stop:
 			return
 		case <-e.queue.wake:
-		case <-clock.C:
+		case <-wakeup.C:
 		}
 		events = e.queue.take(events)
 		e.Counters.MaxQueueLength = max(e.Counters.MaxQueueLength, len(events))
@@ -180,10 +180,10 @@
 	}
 }
 
-// handleBatch handles a handleBatch of events, and the timers that are due between them.
+// handleBatch handles a batch of events and the timers that become due between them.
 func (e *Engine) handleBatch(events []event) {
-	from := time.Now()
-	e.lagResponder.begin(from)
+	start := time.Now()
+	e.lagResponder.begin(start)
 	defer e.lagResponder.end()
 	for i, ev := range events {
 		e.setOldestEvent(ev.queuedAt)
@@ -196,10 +196,10 @@
 	e.setOldestEvent(time.Now())
 	e.runCalls()
 	e.fireTimers()
-	e.Counters.MaxBatchDuration = max(e.Counters.MaxBatchDuration, time.Since(from))
+	e.Counters.MaxBatchDuration = max(e.Counters.MaxBatchDuration, time.Since(start))
 }
 
-// nextWakeup is how long the engine may wait for events: up to its next timer, and its next beat.
+// nextWakeup returns how long the engine may wait for events: until its next timer or its next beat.
 func (e *Engine) nextWakeup() (wait time.Duration, bounded bool) {
 	if e.StallMonitor != nil {
 		wait, bounded = pulse.BeatInterval, true
@@ -214,8 +214,8 @@
 }
 
 func (e *Engine) fireTimers() {
-	for do := e.timers.popDue(e.readClock()); do != nil; do = e.timers.popDue(e.now) {
-		e.handleEvent(timerEvent, do)
+	for callback := e.timers.popDue(e.readClock()); callback != nil; callback = e.timers.popDue(e.now) {
+		e.handleEvent(timerEvent, callback)
 	}
 }
 
@@ -226,16 +226,16 @@
 	return e.now
 }
 
-// wallTime is the first moment at which the clock shows t.
+// wallTime returns the first moment at which the engine's clock shows t.
 func (e *Engine) wallTime(t policy.Time) time.Time {
 	return e.clockStart.Add(time.Duration(t-e.clockOffset) * timeUnit)
 }
 
-func (e *Engine) handleEvent(kind eventKind, do func()) {
-	from := e.clockStart.Add(time.Duration(e.readClock()-e.clockOffset) * timeUnit)
-	do()
+func (e *Engine) handleEvent(kind eventKind, run func()) {
+	start := e.clockStart.Add(time.Duration(e.readClock()-e.clockOffset) * timeUnit)
+	run()
 	e.runDeferred()
-	if took := time.Since(from); took > e.Counters.MaxEventDuration {
+	if took := time.Since(start); took > e.Counters.MaxEventDuration {
 		e.Counters.MaxEventDuration, e.Counters.MaxEventKind = took, kind
 	}
 }
@@ -248,10 +248,10 @@
 	e.deferred = e.deferred[:0]
 }
 
-// runCalls runs what operators ask for: ahead of every other event, as its answer is owed under any load.
+// runCalls runs operators' calls. They precede all other events, as they must be answered under any load.
 func (e *Engine) runCalls() {
-	for _, do := range e.queue.takeCalls() {
-		e.handleEvent(callEvent, do)
+	for _, call := range e.queue.takeCalls() {
+		e.handleEvent(callEvent, call)
 	}
 }
 
@@ -263,7 +263,7 @@
 	})
 }
 
-// Submit hands an op in. With an error the op was not taken, and the front turns it away.
+// Submit passes an op to the engine. If it returns an error, the op was not accepted and the front rejects it.
 func (e *Engine) Submit(o *Op) error {
 	size := int64(len(o.Request.Value) + o.Request.Properties.Size() + len(o.Request.Key) + len(o.Request.ID))
 	ops, bytes := e.opCount.Add(1), e.byteCount.Add(size)
@@ -290,7 +290,7 @@
 	return nil
 }
 
-// Leave tells that an op's client has gone away. It may come ahead of the op's own Submit.
+// Abandon tells the engine that an op's client has left. It may be called before the op's Submit.
 func (e *Engine) Abandon(o *Op) {
 	o.Request.Abandon()
 	e.queue.put(leaveEvent, func() {
@@ -306,7 +306,7 @@
 
 func (e *Engine) opArrived(o *Op, size int64) {
 	o.markTime(&o.Trace.Arrived, time.Now())
-	if o.Request.Abandoned() { // before the engine came to it: there is nobody to answer, or it has its answer; nothing has begun
+	if o.Request.Abandoned() { // before the engine saw the op: its client has left, or the lag responder has answered; no push has begun
 		e.Counters.Taken++
 		if progress(o.progress.Load()) != opAnswered {
 			e.Counters.ClientsLeft++
@@ -320,7 +320,7 @@
 		return
 	}
 	c := e.Settings.Categories[o.Category]
-	if c.TTL > 0 { // No client waits longer than that, whatever it says; else a slip there would hold memory.
+	if c.TTL > 0 { // The TTL bounds any client's wait: a wrong value from a client would otherwise hold memory.
 		o.Request.Deadline = o.Request.Deadline.AtMost(o.ReceivedAt.Add(time.Duration(c.TTL) * timeUnit))
 	}
 	ttl := e.clockOffset + policy.Time(o.Request.Deadline.Remaining(e.clockStart)/timeUnit)
@@ -339,14 +339,13 @@
 	e.Counters.Taken++
 	e.timers.set(h.ttl+overdueGrace, func() { e.expire(h) })
 	e.module.OpArrived(h.id, o.Key, o.Category, o.Tenant, o.Request.Write, o.IsRetry, max(h.ttl-e.now, 0))
-	if e.shuttingDown.Load() { // it was handed in just before
+	if e.shuttingDown.Load() { // it was submitted just before
 		e.module.HandBack(h.id)
 	}
 	e.releaseOp(h)
 }
 
-// expire is the last net under rule 1: the module answers by the TTL at the latest, and this is never reached
-// while it does.
+// expire ends an op that the module has not answered by its TTL. It is a safeguard: the module answers every op by its TTL at the latest.
 func (e *Engine) expire(h *opRecord) {
 	if h.ended {
 		return
@@ -361,7 +360,7 @@
 	e.releaseOp(h)
 }
 
-// claimAnswer takes the right to answer an op on the engine's goroutine; false: it was answered as that was behind.
+// claimAnswer acquires the right to answer an op on the engine's goroutine. It returns false if the lag responder has answered it.
 func (e *Engine) claimAnswer(h *opRecord) bool {
 	if _, ok := h.claim(); !ok {
 		return false
@@ -370,9 +369,9 @@
 	return true
 }
 
-// endOp marks an op as over: the one place through which each op goes once. Danger: a push that still dials, or waits for
-// another connection, or lies in our system's buffer for a server that hangs, would come after the op's answer or its
-// client's leaving. To take it back is no cancelling: no server has all of it.
+// endOp marks an op as ended; every op passes through it exactly once. It aborts pushes that no server has fully received: a push that is
+// still dialing, waiting for a connection, or in the kernel's send buffer for a server that hangs would otherwise arrive after the op's
+// answer or its client's leaving. This applies whether or not servers support cancelling.
 func (e *Engine) endOp(h *opRecord) {
 	h.ended = true
 	for _, p := range h.openPushes {
@@ -384,7 +383,7 @@
 	}
 }
 
-// pushWithdrawn tells of a push that was taken back before a byte of it was written.
+// pushWithdrawn handles a push that was aborted before a byte of it was written.
 func (e *Engine) pushWithdrawn(h *opRecord, p *push) {
 	if slices.Contains(h.openPushes, p) {
 		e.Counters.Withdrawn++
@@ -392,12 +391,12 @@
 	}
 }
 
-// withdrawPushes takes back all pushes to some caches that are not written yet. The module knows by then that nothing goes there.
+// withdrawPushes aborts all unwritten pushes to some caches. The module must already know that these caches get no more pushes.
 func (e *Engine) withdrawPushes(caches map[uint32]bool) {
 	if len(caches) == 0 {
 		return
 	}
-	for _, id := range slices.Sorted(maps.Keys(e.records)) { // the module is told in the same order each time
+	for _, id := range slices.Sorted(maps.Keys(e.records)) { // sorted, so that the module sees a deterministic order
 		h := e.records[id]
 		if h == nil {
 			continue
@@ -410,34 +409,34 @@
 	}
 }
 
-// releaseOp lets go of an op that is over and has nothing out.
+// releaseOp drops an op that has ended and has no open pushes.
 func (e *Engine) releaseOp(h *opRecord) {
 	if h.ended && len(h.openPushes) == 0 && e.records[h.id] == h {
 		delete(e.records, h.id)
 		if h.OnRelease != nil {
 			h.OnRelease()
 		}
-		h.Op = nil // timers keep h for a while, and must not keep a value; a server may still be reading the op
+		h.Op = nil // timers keep the record for a while and must not retain the value; a server may still be reading the op
 		e.opCount.Add(-1)
 		e.byteCount.Add(-h.size)
 	}
 }
 
-// pushEnded takes a push's one outcome.
+// pushEnded handles a push's single outcome.
 func (e *Engine) pushEnded(h *opRecord, p *push, r Result) {
-	at := -1
+	index := -1
 	for i := range h.openPushes {
 		if h.openPushes[i] == p {
-			at = i
+			index = i
 		}
 	}
-	if r.Body.Size > 0 && (at < 0 || h.ended) {
-		r.Body.Close() // nobody waits for it
+	if r.Body.Size > 0 && (index < 0 || h.ended) {
+		r.Body.Close() // nobody reads it
 	}
-	if at < 0 {
-		return // given up before: its outcome was told then
+	if index < 0 {
+		return // the push was aborted earlier and its outcome reported then
 	}
-	h.openPushes = append(h.openPushes[:at], h.openPushes[at+1:]...)
+	h.openPushes = append(h.openPushes[:index], h.openPushes[index+1:]...)
 	if !r.Outcome.NotExecuted() && (h.firstRunAt == 0 || p.sentAt < h.firstRunAt) {
 		h.firstRunAt = p.sentAt
 	}
@@ -445,11 +444,11 @@
 	if r.Outcome == policy.Acked && !h.ended {
 		e.Counters.Acked++
 		e.endOp(h)
-		if answers := e.claimAnswer(h); !answers && r.Body.Size > 0 {
+		if claimed := e.claimAnswer(h); !claimed && r.Body.Size > 0 {
 			r.Body.Close()
-		} else if !answers { // its client has its answer
+		} else if !claimed { // the client already has its answer
 		} else if r.Body.Size > 0 {
-			h.Reply.Streamed(r.Body) // whether it ends well is between cache and client: nothing is pushed anew
+			h.Reply.Streamed(r.Body) // the op is not retried if the stream fails: the cache's bytes go straight to the client
 		} else {
 			h.Reply.Acked(r.Value)
 		}
@@ -468,31 +467,31 @@
 	e.releaseOp(h)
 }
 
-// UpdateList tells what discovery has said. It may be called from any goroutine.
+// UpdateList applies a list from discovery. It may be called from any goroutine.
 func (e *Engine) UpdateList(kind policy.ListKind, members []Member) {
 	e.queue.put(listEvent, func() {
-		from := time.Now()
+		start := time.Now()
 		e.applyList(kind, members)
-		e.Counters.MaxListDuration, e.Counters.ListEntries = max(e.Counters.MaxListDuration, time.Since(from)), len(e.servers)
+		e.Counters.MaxListDuration, e.Counters.ListEntries = max(e.Counters.MaxListDuration, time.Since(start)), len(e.servers)
 	})
 }
 
 func (e *Engine) applyList(kind policy.ListKind, members []Member) {
 	e.Counters.Lists++
 	entries := make([]policy.Entry, 0, len(members))
-	shut := map[uint32]bool{} // caches to which nothing goes any more, or no longer there
-	var probed []*server      // as they were
+	closed := map[uint32]bool{} // caches that get no more pushes, or have left the list
+	var previous []*server      // servers as they were before the list
 	if kind == policy.ListFull || kind == policy.ListCached {
-		named := make(map[uint32]bool, len(members))
+		listed := make(map[uint32]bool, len(members))
 		for i := range members {
-			named[members[i].ID] = true
+			listed[members[i].ID] = true
 		}
-		for id, s := range e.servers { // who is missing from a whole list is gone
-			if !named[id] {
+		for id, s := range e.servers { // a cache missing from a full list is gone
+			if !listed[id] {
 				s.Retire()
 				delete(e.servers, id)
 				e.noteDeparted(s)
-				shut[id], probed = true, append(probed, s)
+				closed[id], previous = true, append(previous, s)
 			}
 		}
 	}
@@ -502,59 +501,59 @@
 		} else if s := e.servers[m.ID]; s != nil {
 			e.noteDeparted(s)
 		}
-		// The list need not tell that a cache which was out has been restarted.
+		// The list need not show that a cache which was out of service was restarted.
 		m.Excluded, m.Start = e.cachesOut[m.Name] || e.outWithSite(&m), max(m.Start, e.returnedAt[m.Name])
 		entries = append(entries, m.Entry)
 		s := e.servers[m.ID]
 		if s != nil && (m.State == policy.Gone || s.member.Addr != m.Addr || s.start < m.Start) {
-			// Gone, elsewhere, or a new process: a connection to the old one may be silent for ever, and a push
-			// written to it would wait in vain. What is out there still ends by itself.
+			// Gone, at another address, or a new process: a connection to the old one may never answer, and a push written to it would
+			// wait in vain. Pushes already in flight end on their own.
 			s.Retire()
 			delete(e.servers, m.ID)
-			probed = append(probed, s)
-			s, shut[m.ID] = nil, true
+			previous = append(previous, s)
+			s, closed[m.ID] = nil, true
 		}
 		if s == nil && m.State != policy.Gone {
 			e.servers[m.ID] = &server{Server: e.Connect(m), start: m.Start}
 		}
 		if s = e.servers[m.ID]; s != nil {
 			if m.State == policy.Draining && s.member.State != policy.Draining {
-				shut[m.ID], probed = true, append(probed, s)
+				closed[m.ID], previous = true, append(previous, s)
 			}
 			s.member = m
 		}
 	}
 	e.module.ListArrived(kind, entries)
-	// Danger: a connection that comes up late, or follows a stale one, would carry a push or a probe there after the drain's grace.
-	e.withdrawPushes(shut)
-	slices.SortFunc(probed, func(x, y *server) int { return cmp.Compare(x.member.ID, y.member.ID) }) // the same order each time
-	for _, s := range probed {
+	// A connection that is established late, or replaces a stale one, would otherwise carry a push or a probe there after the drain's grace period.
+	e.withdrawPushes(closed)
+	slices.SortFunc(previous, func(x, y *server) int { return cmp.Compare(x.member.ID, y.member.ID) }) // deterministic order
+	for _, s := range previous {
 		s.abortUnwrittenProbe()
 	}
 	e.restoreMemory()
 }
 
-const maxDeparted = 8 << 10 // caches that have gone and are remembered
+const maxDeparted = 8 << 10 // limit of remembered caches that left the list
 
 func (e *Engine) noteDeparted(s *server) {
 	if len(e.departed) >= maxDeparted {
-		clear(e.departed) // the old ones are in no list any more
+		clear(e.departed) // the old entries are no longer in any list
 	}
 	e.departed[s.member.Name] = s.start
 }
 
-// restoreMemory hands the module what was learned before, as soon as it knows caches: before there is anything to lose. A number that
-// stands for another name now gets nothing.
+// restoreMemory passes the learned state to the module as soon as it knows caches, before it learns anything new. A cache id that now
+// belongs to another name gets nothing.
 func (e *Engine) restoreMemory() {
 	if e.Memory == nil || len(e.servers) == 0 {
 		return
 	}
-	m := *e.Memory
+	memory := *e.Memory
 	e.Memory = nil
-	for id, was := range m.Caches {
-		if s := e.servers[id]; s == nil || s.member.Name != was.Name {
-			delete(m.Caches, id)
+	for id, learned := range memory.Caches {
+		if s := e.servers[id]; s == nil || s.member.Name != learned.Name {
+			delete(memory.Caches, id)
 		}
 	}
-	e.module.Recall(m)
+	e.module.Recall(memory)
 }
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -19,18 +19,18 @@
 	"minttray/policy"
 )
 
-const eventTimeout = 10 * time.Second // bound of waits that end by an event; no verdict hangs on it
+const eventTimeout = 10 * time.Second // limit of waits for events; no assertion depends on it
 
-// recorder records what servers and clients meet, in order, and lets a test answer pushes.
+// recorder records the calls to servers and clients in order, and lets a test answer pushes.
 type recorder struct {
 	t           *testing.T
 	mu          sync.Mutex
 	cond        *sync.Cond
 	log         []string
-	pushResults map[string]func(Result) // by push, as logged
+	pushResults map[string]func(Result) // by push, as recorded
 
-	pushesUnwritten bool // pushes stay so
-	pushesUnsent    bool // or lie in the system's buffer
+	pushesUnwritten bool // pushes are not written
+	pushesUnsent    bool // pushes are in the kernel's send buffer
 }
 
 func (s *recorder) record(format string, args ...any) string {
@@ -42,7 +42,7 @@
 	return line
 }
 
-// await waits for the first line after the first from lines that begins so, and gives its place.
+// await waits for a line with one of the prefixes, from the given line on, and returns its index.
 func (s *recorder) await(from int, starts ...string) int {
 	s.t.Helper()
 	late := time.AfterFunc(eventTimeout, func() { s.record("late") })
@@ -161,7 +161,7 @@
 		Reply: fakeReply{s, id}}
 }
 
-// drainQueue waits until all that was put into the queue so far has been handled.
+// drainQueue waits until all events queued so far have been handled and returns the counters.
 func drainQueue(e *Engine) (c Counters) {
 	done := make(chan struct{})
 	e.Do(func(e *Engine) { c = e.Counters; close(done) })
@@ -191,10 +191,10 @@
 	s.await(at, "acked a v")
 }
 
-// Danger: a push that timed out, still out on an open connection when the next is written, is a second copy.
+// Guards against a second copy: a push that timed out must not be on an open connection when the next one is written.
 func TestPushIsGivenUpBeforeTheOpEnds(t *testing.T) {
 	e, s := startEngine(t, nil)
-	e.Submit(s.op("a", 1)) // its target is 100 ms, and nobody answers
+	e.Submit(s.op("a", 1)) // its target is 100 ms, and no server answers
 	at := s.await(0, "push cache")
 	up := s.await(at, "given up cache")
 	if end := s.await(at, "nacked a"); end < up {
@@ -224,7 +224,7 @@
 	e.Submit(s.op("never ran", 2))
 	at := s.await(0, "push cache")
 	s.answer(at, Result{Outcome: policy.Rejected})
-	at = s.await(at+1, "push cache") // the other one: the first proved that it never ran
+	at = s.await(at+1, "push cache") // the other cache, as the first one's answer showed that the op never ran
 	s.answer(at, Result{Outcome: policy.ConnectionLost})
 	s.await(at, "dead-lettered never ran")
 	if c := drainQueue(e); c.Sent != 2 || e.opCount.Load() != 0 {
@@ -249,7 +249,7 @@
 	}
 }
 
-// Danger: connections to a process that is no more may be silent for ever, and pushes on them wait in vain.
+// Guards against pushes on connections to a process that no longer runs, which may never be answered.
 func TestNewProcessGetsNewConnections(t *testing.T) {
 	e, s := startEngine(t, nil)
 	again := member(1, policy.Ready)
@@ -291,7 +291,7 @@
 	}
 }
 
-// Danger: an id sent again is served with what belongs to another client, or pushed after its op's end.
+// Guards against an op with a repeated id receiving another client's answer, or being pushed after the first op's end.
 func TestIDIsTakenOnce(t *testing.T) {
 	e, s := startEngine(t, nil)
 	if e.Submit(s.op("a", 0)) != nil || e.Submit(s.op("a", 0)) != ErrDuplicateID {
@@ -300,7 +300,7 @@
 	at := s.await(0, "push cache")
 	s.answer(at, Result{Outcome: policy.Acked, Value: []byte("v")})
 	s.await(at, "acked a v")
-	drainQueue(e) // the answer goes out before the op is let go of
+	drainQueue(e) // the answer is sent before the op is released
 	if e.Submit(s.op("a", 0)) != ErrDuplicateID || e.opCount.Load() != 0 {
 		t.Errorf("taken again after its end, or held: %d", e.opCount.Load())
 	}
@@ -320,7 +320,7 @@
 	}
 }
 
-// Danger: a whole list that no longer names a cache leaves its connections open for good.
+// Guards against connections to a cache that a full list no longer contains staying open.
 func TestMissingFromAWholeListIsGone(t *testing.T) {
 	e, s := startEngine(t, nil)
 	e.UpdateList(policy.ListFull, []Member{member(1, policy.Ready), member(9, policy.Ready)})
@@ -333,7 +333,7 @@
 	drainQueue(e)
 }
 
-// The module answers each op by its TTL. Should it ever not, the engine does, and says so.
+// If the module fails to answer an op by its TTL, the engine ends the op and counts it.
 func TestOverdueOpIsEndedAtItsTTL(t *testing.T) {
 	e, s := startEngine(t, nil)
 	e.Do(func(e *Engine) {
@@ -385,10 +385,10 @@
 	}
 }
 
-// Danger: an op that waits for a cache that never answers its probe, or a probe's late answer taken for another's.
+// Guards against an op waiting for a cache that never answers its probe, and against a probe's late answer being taken for another's.
 func TestProbe(t *testing.T) {
 	e, s := startEngine(t, func(o *Options) { o.Settings.Probing = true })
-	e.Submit(s.op("a", 0)) // targets of 100 ms and more: a probe is waited for a sixteenth of that
+	e.Submit(s.op("a", 0)) // targets of 100 ms and more: a probe is awaited for a sixteenth of that
 	at := s.await(0, "push cache")
 	if c := drainQueue(e); c.Probes != 1 || c.Sent != 0 {
 		t.Fatalf("the op did not wait for the probe: %+v", c)
@@ -399,17 +399,17 @@
 	s.answer(op, Result{Outcome: policy.Acked, Value: []byte("v")})
 	s.await(op, "acked a v")
 	drainQueue(e)
-	time.Sleep(50 * time.Millisecond) // the word is old
+	time.Sleep(50 * time.Millisecond) // the load report is out of date
 	e.Submit(s.op("b", 0))
-	at = s.await(op+1, "push cache") // the probe, never answered
-	at = s.await(at+1, "push cache") // the op all the same, or another cache's probe before it
+	at = s.await(op+1, "push cache") // the probe, which is never answered
+	at = s.await(at+1, "push cache") // the op, or another cache's probe before it
 	s.await(at, "given up cache")
 	if c := drainQueue(e); c.ProbesFailed == 0 || c.Probes < 2 {
 		t.Errorf("%+v", c)
 	}
 }
 
-// Danger: a push that waits for its connection is written after the operator was told that the cache is out.
+// Guards against a push that waits for its connection being written after the operator was told that the cache is out of service.
 func TestOutTakesBackWhatIsNotWritten(t *testing.T) {
 	e, s := startEngine(t, nil)
 	if err := e.SetCacheOut("nobody", true, eventTimeout); err != ErrUnknown {
@@ -427,7 +427,7 @@
 	if err := e.SetCacheOut(first, true, eventTimeout); err != nil {
 		t.Fatal(err)
 	}
-	// All that is said by now came before the yes.
+	// Everything recorded by now came before the call returned.
 	back := s.await(at, "taken back "+first+" a")
 	again := s.await(back, "push cache")
 	if s.cache(again) == first {
@@ -436,7 +436,7 @@
 	s.answer(again, Result{Outcome: policy.Acked, Value: []byte("v")})
 	s.await(again, "acked a v")
 	e.UpdateList(policy.ListFull, []Member{member(1, policy.Ready), member(2, policy.Ready), member(9, policy.Ready)})
-	for i := range 20 { // whatever the list has said
+	for i := range 20 { // whatever the list contains
 		e.Submit(s.op(fmt.Sprint("b", i), 0))
 		at = s.await(again, fmt.Sprintf("push %s b%d ", s.cache(again), i))
 		s.answer(at, Result{Outcome: policy.Acked, Value: []byte("v")})
@@ -446,7 +446,7 @@
 	}
 }
 
-// A site is out for new caches too, whatever the list says; the last one can't be taken out; a word of before holds from the start.
+// A site override also applies to caches added later, the last site cannot be taken out, and an override from before holds from the start.
 func TestASiteIsOutWhole(t *testing.T) {
 	in := func(id uint32, zone int) Member {
 		m := member(id, policy.Ready)
@@ -488,14 +488,14 @@
 	}
 }
 
-// cache is where the push of a line went.
+// cache returns the cache of a recorded push.
 func (s *recorder) cache(line int) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return strings.Fields(s.log[line])[1]
 }
 
-// A process that takes over begins with a half of what was sent, and both together may send what one did.
+// A process that takes over starts with half of the send counts, and both processes together may send what one did.
 func TestHandover(t *testing.T) {
 	e, s := startEngine(t, nil)
 	for i := range 20 {
@@ -532,7 +532,7 @@
 	}
 }
 
-// Danger: a cache that was called back before the upgrade is taken for a warm one after it.
+// Guards against a cache that was returned to service before an upgrade being treated as warm after it.
 func TestWhoCameBackIsColdAfterTheUpgradeToo(t *testing.T) {
 	now := time.Now()
 	e, _ := startEngine(t, func(o *Options) {
@@ -569,7 +569,7 @@
 		t.Fatal(err)
 	}
 	s.answer(at, Result{Outcome: policy.Errored})
-	at = s.await(at+1, "push cache") // the old rules let it be pushed again
+	at = s.await(at+1, "push cache") // the old settings allow another push
 	s.answer(at, Result{Outcome: policy.Acked, Value: []byte("v")})
 	s.await(at, "acked a v")
 	e.Submit(s.op("b", 3))
@@ -581,7 +581,7 @@
 	}
 }
 
-// Danger: the client that left, or the op that was answered, leaves a long value unread, and its cache's connection open.
+// Guards against a long value that nobody reads any more staying open with its cache's connection, after the op was answered.
 func TestALongValueThatNobodyWaitsForIsClosed(t *testing.T) {
 	e, s := startEngine(t, nil)
 	e.Submit(s.op("a", 0))
@@ -603,7 +603,7 @@
 func (c closer) Read([]byte) (int, error) { return 0, io.EOF }
 func (c closer) Close() error             { c.s.record("closed %s", c.name); return nil }
 
-// Danger: a process ends with an answer owed, or answers an op twice.
+// Guards against a process that ends without answering an op, or answers one twice.
 func TestHandBack(t *testing.T) {
 	e, s := startEngine(t, nil)
 	for i, category := range []int{0, 2, 0, 2, 0} {
@@ -611,7 +611,7 @@
 		s.await(0, fmt.Sprintf("push cache1 op%d ", i), fmt.Sprintf("push cache2 op%d ", i))
 	}
 	first := s.await(0, "push cache1 op0 ", "push cache2 op0 ")
-	s.answer(first, Result{Outcome: policy.Acked, Value: []byte("v")}) // it has come, and is heard first
+	s.answer(first, Result{Outcome: policy.Acked, Value: []byte("v")}) // already queued, so it is handled before the shutdown
 	if err := e.AnswerAllOpen(eventTimeout); err != nil {
 		t.Fatal(err)
 	}
@@ -639,7 +639,7 @@
 	}
 }
 
-// Whatever clients and servers do, and whenever the process ends, each op that was taken has one answer, or no client.
+// Whatever clients and servers do, and whenever the process ends, each accepted op gets exactly one answer, or at most one if its client left.
 func TestEveryOpEndsOnce(t *testing.T) {
 	outcomes := []policy.Outcome{policy.Acked, policy.Errored, policy.Rejected, policy.TimedOut, policy.ConnectFailed, policy.ConnectionLost, policy.Miss}
 	rapid.Check(t, func(r *rapid.T) {
@@ -696,7 +696,7 @@
 	})
 }
 
-// Danger: a list that is older than the last end names a cache in use that was draining by then.
+// Guards against using a cache that was draining when the process last ended, as an older cached list shows it as ready.
 func TestDrainsOutliveARestart(t *testing.T) {
 	e, s := startEngine(t, func(o *Options) {
 		o.Memory = &warm.LearnedState{Confidence: 1, Departed: map[string]int64{"cache1": 0, "cache2": -1}}
@@ -705,9 +705,9 @@
 		o := s.op(fmt.Sprint("op", i), 0)
 		o.Key = uint64(i + 1)
 		e.Submit(o)
-		s.answer(s.await(0, fmt.Sprintf("push cache2 op%d ", i)), Result{Outcome: policy.Acked, Value: []byte("v")}) // it has started since
+		s.answer(s.await(0, fmt.Sprintf("push cache2 op%d ", i)), Result{Outcome: policy.Acked, Value: []byte("v")}) // it has been restarted since
 	}
-	e.UpdateList(policy.ListFull, []Member{member(1, policy.Ready), member(2, policy.Draining), member(9, policy.Ready)}) // the service's word counts
+	e.UpdateList(policy.ListFull, []Member{member(1, policy.Ready), member(2, policy.Draining), member(9, policy.Ready)}) // discovery's list takes precedence
 	e.Submit(s.op("again", 0))
 	s.await(0, "push cache1 again")
 }
--- a/internal/engine/ids.go
+++ b/internal/engine/ids.go
@@ -7,18 +7,17 @@
 	"time"
 )
 
-// Why Submit did not take an op.
+// Reasons for which Submit rejects an op.
 var (
 	ErrFull        = errors.New("too much is held")
 	ErrOverloaded  = errors.New("the engine is behind")
 	ErrDuplicateID = errors.New("an op with this id was taken before")
 )
 
-const maxIDsPerGeneration = 1 << 15 // of one span, so that they stay small whatever comes
+const maxIDsPerGeneration = 1 << 15 // bounds the memory used, whatever ids arrive
 
-// recentIDs remembers the recentIDs of ops taken, for the longest time that one may be open and at most twice that. An id is
-// new with every op: who sends one again wants what belongs to another client, and a push for it after the first
-// op's end would be one too many.
+// recentIDs remembers the ids of accepted ops for at least the maximum duration of an op, and at most twice that. Clients use a new id for
+// every op. An op with a repeated id would receive another client's answer, or be pushed again after the first op's end.
 type recentIDs struct {
 	retention time.Duration
 	seed      maphash.Seed
@@ -28,18 +27,18 @@
 	rotatedAt         time.Time
 }
 
-func newRecentIDs(span time.Duration) *recentIDs {
-	return &recentIDs{retention: span, seed: maphash.MakeSeed(), current: map[uint64]struct{}{}}
+func newRecentIDs(duration time.Duration) *recentIDs {
+	return &recentIDs{retention: duration, seed: maphash.MakeSeed(), current: map[uint64]struct{}{}}
 }
 
-// extendRetention keeps ids for longer from now on; never for less, as ops of before are open.
-func (s *recentIDs) extendRetention(span time.Duration) {
+// extendRetention raises the retention. It never lowers it, as ops accepted earlier are still open.
+func (s *recentIDs) extendRetention(retention time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.retention = max(s.retention, span)
+	s.retention = max(s.retention, retention)
 }
 
-// add tells whether an id is new.
+// add records an id and reports whether it is new.
 func (s *recentIDs) add(id string, at time.Time) bool {
 	h := maphash.String(s.seed, id)
 	s.mu.Lock()
@@ -47,9 +46,9 @@
 	if at.Sub(s.rotatedAt) >= s.retention || len(s.current) >= maxIDsPerGeneration {
 		s.current, s.previous, s.rotatedAt = make(map[uint64]struct{}, len(s.current)), s.current, at
 	}
-	_, open := s.current[h]
-	_, late := s.previous[h]
-	if open || late {
+	_, inCurrent := s.current[h]
+	_, inPrevious := s.previous[h]
+	if inCurrent || inPrevious {
 		return false
 	}
 	s.current[h] = struct{}{}
--- a/internal/engine/lag.go
+++ b/internal/engine/lag.go
@@ -12,87 +12,87 @@
 )
 
 const (
-	lagThreshold     = pulse.BeatInterval   // an event, or a row of them, that takes longer is looked into
-	lagCheckInterval = 5 * time.Millisecond // from then on, while it lasts
+	lagThreshold     = pulse.BeatInterval   // events or batches that take longer count as lag
+	lagCheckInterval = 5 * time.Millisecond // interval of further checks while the lag lasts
 )
 
-// lagResponder answers requests while the engine's goroutine is lagResponder, by a way that does not wait for it: what was given up here is never begun, as
-// both sides move an op on by one step that only one of them can take. It runs on a timer of its own, which is set only while events are handled.
+// lagResponder answers requests while the engine's goroutine lags, without waiting for it. An op answered here is never pushed afterwards, as
+// both goroutines move an op's progress by one atomic step that only one of them can win. Its timer runs only while events are handled.
 type lagResponder struct {
 	engine *Engine
 	timer  *time.Timer
 
 	mu                sync.Mutex
-	laggedAtLastCheck bool // the engine was behind at the last look: once may be a stall of the whole process
+	laggedAtLastCheck bool // the engine lagged at the last check; a single check may see a stall of the whole process
 	stopped           bool
 
 	Refused, Failed, Served atomic.Int64 // ops answered here
-	TurnedAway              atomic.Int64 // ops not taken, as the engine was behind
+	TurnedAway              atomic.Int64 // ops rejected by Submit because the engine lagged
 }
 
 func newLagResponder(e *Engine) *lagResponder {
-	b := &lagResponder{engine: e}
-	b.timer = time.AfterFunc(time.Hour, b.check)
-	return b
+	r := &lagResponder{engine: e}
+	r.timer = time.AfterFunc(time.Hour, r.check)
+	return r
 }
 
-// begin and end surround a row of events.
-func (b *lagResponder) begin(oldest time.Time) {
-	b.engine.setOldestEvent(oldest)
-	b.timer.Reset(lagThreshold)
+// begin and end enclose a batch of events.
+func (r *lagResponder) begin(oldest time.Time) {
+	r.engine.setOldestEvent(oldest)
+	r.timer.Reset(lagThreshold)
 }
 
-func (b *lagResponder) end() {
-	b.engine.oldestEvent.Store(0)
-	b.timer.Stop()
+func (r *lagResponder) end() {
+	r.engine.oldestEvent.Store(0)
+	r.timer.Stop()
 }
 
-// check answers what is due, and looks again for as long as the row of events lasts.
-func (b *lagResponder) check() {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// check answers the ops that are due, and repeats for as long as the batch lasts.
+func (r *lagResponder) check() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	now := time.Now()
-	if b.stopped || b.engine.oldestEvent.Load() == 0 {
-		b.laggedAtLastCheck = false
+	if r.stopped || r.engine.oldestEvent.Load() == 0 {
+		r.laggedAtLastCheck = false
 		return
 	}
-	b.engine.StallMonitor.Beat(now) // the process runs, it is only the engine that does not come to its beat
-	lag := b.engine.lag(now)
-	if b.laggedAtLastCheck {
-		b.answerDue(func(o *Op) overload.Action { return overload.Decide(o.overloadState(now), overload.Time(lag)) })
+	r.engine.StallMonitor.Beat(now) // the process is running; only the engine is late with its beat
+	lag := r.engine.lag(now)
+	if r.laggedAtLastCheck {
+		r.answerDue(func(o *Op) overload.Action { return overload.Decide(o.overloadState(now), overload.Time(lag)) })
 	}
-	b.laggedAtLastCheck = lag >= lagThreshold
-	b.timer.Reset(lagCheckInterval)
+	r.laggedAtLastCheck = lag >= lagThreshold
+	r.timer.Reset(lagCheckInterval)
 }
 
-// answerAll answers all that is open, as the process ends and the engine does not come to it. It gives how many that were.
-func (b *lagResponder) answerAll() int {
+// answerAll answers all open ops at shutdown when the engine does not respond. It returns their number.
+func (r *lagResponder) answerAll() int {
 	now := time.Now()
-	return b.answerDue(func(o *Op) overload.Action { return overload.DecideAtShutdown(o.overloadState(now)) })
+	return r.answerDue(func(o *Op) overload.Action { return overload.DecideAtShutdown(o.overloadState(now)) })
 }
 
-// Remaining is how long its client still waits, by the client's own word; any goroutine may ask once it is submitted.
+// Remaining returns how long the client still waits, by the client's own deadline. After Submit any goroutine may call it.
 func (o *Op) Remaining(now time.Time) time.Duration { return o.clientWait - now.Sub(o.ReceivedAt) }
 
-// overloadState is how an op stands, for the decision what is done for it.
+// overloadState returns the op's state as input to the overload decision.
 func (o *Op) overloadState(now time.Time) overload.Request {
 	return overload.Request{Waited: overload.Time(now.Sub(o.ReceivedAt)), Remaining: overload.Time(o.Remaining(now)),
 		Attempted: progress(o.progress.Load()) == opBegun, Answered: o.ackedValue.Load() != nil}
 }
 
-// answerDue answers the ops for which something is done.
-func (b *lagResponder) answerDue(what func(*Op) overload.Action) (answered int) {
-	for _, o := range b.engine.unanswered.matching(func(o *Op) bool { return what(o) != overload.Wait }) {
-		if b.answerOp(o, what(o)) {
+// answerDue answers the ops for which the decision is not Wait.
+func (r *lagResponder) answerDue(decide func(*Op) overload.Action) (answered int) {
+	for _, o := range r.engine.unanswered.matching(func(o *Op) bool { return decide(o) != overload.Wait }) {
+		if r.answerOp(o, decide(o)) {
 			answered++
 		}
 	}
 	return answered
 }
 
-// answerOp gives an op its one answer, if it is still to be had.
-func (b *lagResponder) answerOp(o *Op, what overload.Action) bool {
-	switch what {
+// answerOp gives an op its final answer, unless it has one.
+func (r *lagResponder) answerOp(o *Op, action overload.Action) bool {
+	switch action {
 	case overload.Wait:
 		return false
 	case overload.Refuse:
@@ -104,69 +104,69 @@
 			return false
 		}
 	}
-	o.Request.Abandon() // no byte of an attempt is written from here on
-	b.engine.noteAnswered(o, true)
+	o.Request.Abandon() // no further byte of a push is written
+	r.engine.noteAnswered(o, true)
 	value := o.ackedValue.Load()
 	switch {
 	case value != nil:
-		b.Served.Add(1)
+		r.Served.Add(1)
 		o.Reply.Acked(*value)
-	case what == overload.Refuse:
-		b.Refused.Add(1)
+	case action == overload.Refuse:
+		r.Refused.Add(1)
 		o.Reply.Nacked(0)
 	default:
-		b.Failed.Add(1)
+		r.Failed.Add(1)
 		o.Reply.DeadLettered()
 	}
-	b.engine.queue.put(answeredEvent, func() { b.engine.endAnswered(o) })
+	r.engine.queue.put(answeredEvent, func() { r.engine.endAnswered(o) })
 	return true
 }
 
-// LagCounters is what was answered, or not taken, while the engine was behind, for the log.
+// LagCounters returns the counts of ops answered or rejected because the engine lagged, for logging.
 func (e *Engine) LagCounters() zerolog.LogObjectMarshaler { return e.lagResponder }
 
-// stop ends it: nothing is answered any more.
-func (b *lagResponder) stop() {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.stopped = true
-	b.timer.Stop()
+// stop ends the responder: it answers nothing from then on.
+func (r *lagResponder) stop() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.stopped = true
+	r.timer.Stop()
 }
 
 // MarshalZerologObject writes the counters into a log line.
-func (b *lagResponder) MarshalZerologObject(l *zerolog.Event) {
-	l.Int64("refused", b.Refused.Load()).Int64("failed", b.Failed.Load()).Int64("served", b.Served.Load()).Int64("turned_away", b.TurnedAway.Load())
+func (r *lagResponder) MarshalZerologObject(l *zerolog.Event) {
+	l.Int64("refused", r.Refused.Load()).Int64("failed", r.Failed.Load()).Int64("served", r.Served.Load()).Int64("turned_away", r.TurnedAway.Load())
 }
 
-// setOldestEvent notes since when the event in hand has waited.
+// setOldestEvent records since when the current event has been waiting.
 func (e *Engine) setOldestEvent(since time.Time) {
 	e.oldestEvent.Store(max(int64(since.Sub(e.clockStart)), 1))
 }
 
-// lag is how long the oldest event has waited by now: the one in hand, or the first in the queue.
+// lag returns how long the oldest event has been waiting: the current one, or the first in the queue.
 func (e *Engine) lag(now time.Time) time.Duration {
 	if oldest := e.oldestEvent.Load(); oldest != 0 {
 		return now.Sub(e.clockStart) - time.Duration(oldest)
 	}
-	if oldest, some := e.queue.oldest(); some {
+	if oldest, ok := e.queue.oldest(); ok {
 		return now.Sub(oldest)
 	}
 	return 0
 }
 
-// Lag is how long the oldest event has waited by now.
+// Lag returns how long the oldest event has been waiting.
 func (e *Engine) Lag() time.Duration { return e.lag(time.Now()) }
 
-// noteAnswered notes that an op has its final answer.
-func (e *Engine) noteAnswered(o *Op, behind bool) {
+// noteAnswered records that an op has its final answer.
+func (e *Engine) noteAnswered(o *Op, duringLag bool) {
 	e.unanswered.remove(o)
 	o.markTime(&o.Trace.Answered, time.Now())
-	if behind {
+	if duringLag {
 		o.Trace.AnsweredDuringLag.Store(true)
 	}
 }
 
-// endAnswered ends an op that was answered while the engine was behind.
+// endAnswered ends an op that the lag responder has answered.
 func (e *Engine) endAnswered(o *Op) {
 	if h := o.record; h != nil && !h.ended {
 		e.endOp(h)
--- a/internal/engine/operator.go
+++ b/internal/engine/operator.go
@@ -12,19 +12,19 @@
 	"minttray/policy"
 )
 
-// ErrUnknown is the answer to an operator who names a cache that is not in the list, nor out.
+// ErrUnknown is returned for a cache that is neither in the list nor out of service, and for an unknown site.
 var ErrUnknown = errors.New("no cache has this id")
 
-// ErrBusy means that the engine did not come to a call in time.
+// ErrBusy means that the engine did not run a call in time.
 var ErrBusy = errors.New("the engine did not come to it in time")
 
-// runCall runs f on the engine's goroutine runCall of all that waits, and comes back when it has run; within span, or not
-// at all.
+// runCall runs f on the engine's goroutine before all queued events and returns when it has run. If f has not begun within span it never
+// runs.
 func (e *Engine) runCall(span time.Duration, f func() error) error {
 	done := make(chan error, 1)
-	var taken atomic.Bool // by the engine, which does it, or by the caller, who gives it up
+	var claimed atomic.Bool // set by the engine when it begins f, or by the caller when it gives up
 	e.queue.putCall(func() {
-		if taken.CompareAndSwap(false, true) {
+		if claimed.CompareAndSwap(false, true) {
 			done <- f()
 		}
 	})
@@ -33,24 +33,24 @@
 		return err
 	case <-time.After(span):
 	}
-	if taken.CompareAndSwap(false, true) {
+	if claimed.CompareAndSwap(false, true) {
 		return ErrBusy
 	}
-	// Danger: it has begun, and a no would be untrue: what an operator, or a reload, takes for undone would hold.
+	// f has begun. Returning an error now would make an operator, or a reload, believe that nothing was changed.
 	select {
 	case err := <-done:
 		return err
 	case <-time.After(runningCallTimeout):
-		return ErrBusy // the engine itself stands still, for good
+		return ErrBusy // the engine itself hangs
 	}
 }
 
-const runningCallTimeout = 2 * time.Second // of one call that has begun: all of them are short
+const runningCallTimeout = 2 * time.Second // limit of a call that has begun; all calls are short
 
-// ApplySettings puts new settings in the place of the old, ahead of all that waits. Open ops, and those handed in by the numbers
-// of before, keep their rules: settings.Join leaves each category its number.
+// ApplySettings replaces the settings before all queued events are handled. Open ops, and ops submitted with the old category numbers, keep
+// their rules: settings.Join leaves each category its number.
 func (e *Engine) ApplySettings(s policy.Settings, maxOps int, span time.Duration) error {
-	e.ids.extendRetention(maxOpDuration(s)) // first: an op under the new rules may be open for longer
+	e.ids.extendRetention(maxOpDuration(s)) // before the settings change, as an op under the new settings may be open for longer
 	return e.runCall(span, func() error {
 		e.Settings = s
 		e.module.Retune(s)
@@ -59,19 +59,19 @@
 	})
 }
 
-// Learned copies out what was learned. The file that it goes to is another goroutine's: this one must not wait for a disk.
+// Learned returns a copy of the learned state. Another goroutine writes it to a file, as the engine must not wait for a disk.
 func (e *Engine) Learned(span time.Duration) (m warm.LearnedState, err error) {
 	err = e.runCall(span, func() error { m = e.copyMemory(); return nil })
 	return m, err
 }
 
-// Handover gives a half of what may be sent to caches, and all that was learned, to another process.
+// Handover returns all learned state for another process, with half of this process's allowance for sending to caches.
 func (e *Engine) Handover(span time.Duration) (m warm.LearnedState, err error) {
 	err = e.runCall(span, func() error {
 		m = e.copyMemory()
 		m.Halve()
 		for id, s := range m.Caches {
-			*e.module.Record(id) = s.Record // both have the other half
+			*e.module.Record(id) = s.Record // each process keeps one half
 		}
 		return nil
 	})
@@ -79,28 +79,27 @@
 }
 
 func (e *Engine) copyMemory() warm.LearnedState {
-	m := e.module.Learned()
-	m.Departed = map[string]int64{}
+	memory := e.module.Learned()
+	memory.Departed = map[string]int64{}
 	for name, start := range e.departed {
-		m.Departed[name] = int64(start)
+		memory.Departed[name] = int64(start)
 	}
 	for _, s := range e.servers {
 		if s.member.State == policy.Draining {
-			m.Departed[s.member.Name] = int64(s.start)
+			memory.Departed[s.member.Name] = int64(s.start)
 		}
 	}
-	for id, s := range m.Caches {
+	for id, s := range memory.Caches {
 		if known := e.servers[id]; known != nil {
 			s.Name = known.member.Name
-			m.Caches[id] = s
+			memory.Caches[id] = s
 		}
 	}
-	return m
+	return memory
 }
 
-// AnswerAllOpen answers all that is open, as the process ends, and takes nothing from here on. It comes back once all have their
-// answer. What has come by now, answers among it, is heard first, unless that takes half of the span; an engine that
-// does not come to it at all leaves them.
+// AnswerAllOpen answers all open ops at shutdown and accepts no more. It returns when every op has its answer. Events already queued,
+// results among them, are handled first unless that takes half of span. If the engine does not respond at all, the lag responder answers.
 func (e *Engine) AnswerAllOpen(span time.Duration) error {
 	e.shuttingDown.Store(true)
 	done := make(chan struct{})
@@ -112,7 +111,7 @@
 	}
 	err := e.runCall(span/2, func() error { e.answerAllOpen(); return nil })
 	if err != nil {
-		e.Logger.Warn().Int("requests", e.lagResponder.answerAll()).Msg("the engine does not come to its end; what is open was answered without it")
+		e.Logger.Warn().Int("requests", e.lagResponder.answerAll()).Msg("engine did not answer its open requests at shutdown in time; answered them outside its goroutine")
 	}
 	return err
 }
@@ -126,26 +125,25 @@
 	}
 }
 
-// ReadStats runs f on the engine's goroutine ahead of all that waits; handed are the caches that are out with their site.
-func (e *Engine) ReadStats(f func(of policy.Counts, handed int, longest time.Duration)) {
+// ReadStats runs f on the engine's goroutine before all queued events. outWithSite is the number of caches that are out with their site.
+func (e *Engine) ReadStats(f func(counts policy.Counts, outWithSite int, maxEventDuration time.Duration)) {
 	e.queue.putCall(func() {
-		handed := 0
+		outWithSite := 0
 		for _, s := range e.servers {
 			if e.outWithSite(&s.member) {
-				handed++
+				outWithSite++
 			}
 		}
-		f(e.module.Judged(), handed, e.Counters.MaxEventDuration)
+		f(e.module.Judged(), outWithSite, e.Counters.MaxEventDuration)
 	})
 }
 
-// SetCacheOut takes a cache out by its name, or lets it be used again. It comes back once nothing that is not written yet can go
-// there any more.
+// SetCacheOut takes a cache out of service by name, or returns it. When it returns, no unwritten push can reach that cache any more.
 func (e *Engine) SetCacheOut(name string, out bool, span time.Duration) error {
 	return e.runCall(span, func() error { return e.setCacheOut(name, out) })
 }
 
-// SetAllCachesOut says of all caches at once which are out: the word of another process that serves for the same proxy.
+// SetAllCachesOut sets the caches that are out of service, as decided by another process serving for the same proxy.
 func (e *Engine) SetAllCachesOut(names []string, span time.Duration) error {
 	return e.runCall(span, func() error {
 		for name := range e.cachesOut {
@@ -186,69 +184,69 @@
 	return nil
 }
 
-// ErrLastCaches is the answer to an operator who would take the last caches out.
+// ErrLastCaches is returned for a request to take the last caches in use out of service.
 var ErrLastCaches = errors.New("no cache in use would be left")
 
-// SetSite takes all caches of a zone out, or back, as their turns come. It comes back once the first ones have followed.
-func (e *Engine) SetSite(zone int, w SiteOverride, span time.Duration) error {
+// SetSite takes all caches of a zone out of service, or returns them, one after another. It returns when the first have followed.
+func (e *Engine) SetSite(zone int, override SiteOverride, span time.Duration) error {
 	return e.runCall(span, func() error {
-		h := e.siteSchedulesOf(map[int]SiteOverride{zone: w})[zone]
-		known, left := false, false
+		schedule := e.siteSchedulesOf(map[int]SiteOverride{zone: override})[zone]
+		known, othersInUse := false, false
 		for _, s := range e.servers {
 			m := &s.member
 			if m.Kind == e.Settings.OriginKind {
 				continue
 			}
 			known = known || m.Zone == zone
-			left = left || m.Zone != zone && m.State == policy.Ready && !m.Excluded && !e.siteSchedules[m.Zone].Out
+			othersInUse = othersInUse || m.Zone != zone && m.State == policy.Ready && !m.Excluded && !e.siteSchedules[m.Zone].Out
 		}
-		if _, told := e.siteSchedules[zone]; !told && (!known || !h.Out) { // none that nobody took out is called back
+		if _, overridden := e.siteSchedules[zone]; !overridden && (!known || !schedule.Out) { // a site that was not taken out cannot be put back
 			return ErrUnknown
-		} else if h.Out && !left {
+		} else if schedule.Out && !othersInUse {
 			return ErrLastCaches
 		}
-		e.siteSchedules[zone] = h
+		e.siteSchedules[zone] = schedule
 		e.applySites()
 		return nil
 	})
 }
 
-// SetAllSites says of all zones at once what holds: the word of another process that serves for the same proxy.
-func (e *Engine) SetAllSites(all map[int]SiteOverride, span time.Duration) error {
+// SetAllSites sets the overrides of all zones, as decided by another process serving for the same proxy.
+func (e *Engine) SetAllSites(overrides map[int]SiteOverride, span time.Duration) error {
 	return e.runCall(span, func() error {
-		e.siteSchedules = e.siteSchedulesOf(all)
+		e.siteSchedules = e.siteSchedulesOf(overrides)
 		e.applySites()
 		return nil
 	})
 }
 
-// SiteOverride is what an operator said of a whole zone: its caches go out, or come back, one after another over a span.
+// SiteOverride takes all caches of a zone out of service, or returns them, spread over a duration.
 type SiteOverride struct {
 	Out  bool
 	At   time.Time
 	Over time.Duration
 }
 
-// siteSchedulesOf are words in the engine's time.
-func (e *Engine) siteSchedulesOf(all map[int]SiteOverride) map[int]site.Hand[policy.Time] {
-	hands := map[int]site.Hand[policy.Time]{}
-	for zone, w := range all {
-		hands[zone] = site.Hand[policy.Time]{Out: w.Out, At: e.clockOffset + policy.Time(w.At.Sub(e.clockStart)/timeUnit), Over: policy.Time(w.Over / timeUnit)}
+// siteSchedulesOf converts overrides to the engine's clock.
+func (e *Engine) siteSchedulesOf(overrides map[int]SiteOverride) map[int]site.Hand[policy.Time] {
+	schedules := map[int]site.Hand[policy.Time]{}
+	for zone, override := range overrides {
+		schedules[zone] = site.Hand[policy.Time]{Out: override.Out, At: e.clockOffset + policy.Time(override.At.Sub(e.clockStart)/timeUnit), Over: policy.Time(override.Over / timeUnit)}
 	}
-	return hands
+	return schedules
 }
 
-const siteCheckInterval = 250 // policy.Time between two looks at whose turn it is
+const siteCheckInterval = 250 // interval between checks of which caches follow, in policy.Time
 
-// applySites has each cache follow the word on its site, and looks again while one has its turn ahead of it.
+// applySites applies the site overrides to each cache, and sets a timer while some caches have yet to follow.
 func (e *Engine) applySites() {
-	for _, id := range slices.Sorted(maps.Keys(e.servers)) { // the module is told in the same order each time
+	for _, id := range slices.Sorted(maps.Keys(e.servers)) { // sorted, so that the module sees a deterministic order
 		if s := e.servers[id]; s != nil {
 			e.applyOverrides(s)
 		}
 	}
-	for _, h := range e.siteSchedules {
-		if !h.Followed(e.now) && !e.siteTimerSet {
+	for _, schedule := range e.siteSchedules {
+		if !schedule.Followed(e.now) && !e.siteTimerSet {
 			e.siteTimerSet = true
 			e.timers.set(e.now+siteCheckInterval, func() {
 				e.siteTimerSet = false
@@ -258,13 +256,13 @@
 	}
 }
 
-// outWithSite tells whether a cache is out with its site.
+// outWithSite reports whether a cache is out of service with its site.
 func (e *Engine) outWithSite(m *Member) bool {
-	h, told := e.siteSchedules[m.Zone]
-	return told && m.Kind != e.Settings.OriginKind && h.Holds(m.ID, e.now)
+	schedule, overridden := e.siteSchedules[m.Zone]
+	return overridden && m.Kind != e.Settings.OriginKind && schedule.Holds(m.ID, e.now)
 }
 
-// applyOverrides has a cache be out, or in use again, as operators have said of it or of its site.
+// applyOverrides takes a cache out of service or returns it, according to the overrides of the cache and its site.
 func (e *Engine) applyOverrides(s *server) {
 	out := e.cachesOut[s.member.Name] || e.outWithSite(&s.member)
 	if s.member.Excluded == out {
@@ -276,14 +274,14 @@
 	}
 	s.member.Excluded = out
 	e.module.ListArrived(policy.ListDelta, []policy.Entry{s.member.Entry})
-	// Whoever returns has most likely been restarted: connections to what was there may be silent.
+	// A cache that returns has most likely been restarted: connections to the old process may never answer.
 	s.Retire()
 	s.Server = e.Connect(s.member)
 	if !out {
 		return
 	}
 	s.abortUnwrittenProbe()
-	// Danger: a push that still waits for its connection would be written after the operator was told yes. Also those
-	// over a connection pool of the same cache that the list has replaced.
+	// A push still waiting for its connection would otherwise be written after the operator's call has succeeded. This includes pushes on
+	// a connection pool of the same cache that the list has replaced.
 	e.withdrawPushes(map[uint32]bool{s.member.ID: true})
 }
--- a/internal/engine/policy_host.go
+++ b/internal/engine/policy_host.go
@@ -7,10 +7,10 @@
 	"minttray/policy"
 )
 
-// Now is the clock reading of the event in hand.
+// Now returns the clock reading of the current event.
 func (e *Engine) Now() policy.Time { return e.now }
 
-// Push sends an op to a server, or tells the module afterwards why it could not be sent.
+// Push sends an op to a server. If it cannot be sent, the module is told so after it has returned.
 func (e *Engine) Push(id, cache uint32, until policy.Time) {
 	h := e.records[id]
 	if h == nil {
@@ -39,41 +39,41 @@
 	})
 	e.timers.set(until, func() { e.drop(h, p, policy.TimedOut) })
 	if h.dedupWindow > 0 && h.firstRunAt > 0 {
-		// Danger: the module let the repeat go within the window, and a connection that comes up late, or a server that hangs as it
-		// is written, has it come behind that: the op would run twice.
+		// The module started the repeat within the deduplication window. If its connection is established late, or the server hangs during
+		// the write, the repeat would arrive after the window and the op would run twice.
 		e.timers.set(h.firstRunAt+h.dedupWindow-e.Settings.Tick, func() {
 			switch {
 			case !slices.Contains(h.openPushes, p):
 			case p.abort(IfUnwritten):
 				e.pushWithdrawn(h, p)
 			case p.abort(IfUnsent):
-				e.pushEnded(h, p, Result{Outcome: policy.TimedOut}) // our system's word may be old: it may have run
+				e.pushEnded(h, p, Result{Outcome: policy.TimedOut}) // the kernel's information may be out of date: it may have run
 			}
 		})
 	}
 }
 
-// drop gives up a push that is still out. Its connection is closed before the module hears of it: no second
-// copy may be written while the first is out on an open connection.
-func (e *Engine) drop(h *opRecord, p *push, how policy.Outcome) {
-	for _, o := range h.openPushes {
-		if o == p {
-			// Danger: an op that must not run twice would be answered as one that may have run, though no byte of it was written.
-			if how == policy.TimedOut && h.effect != policy.Redeliverable && p.abort(IfUnwritten) {
-				how = policy.ConnectFailed
+// drop aborts an open push. Its connection is closed before the module learns of it, as no second copy may be written while the first is
+// in flight on an open connection.
+func (e *Engine) drop(h *opRecord, p *push, outcome policy.Outcome) {
+	for _, open := range h.openPushes {
+		if open == p {
+			// An op that must not run twice would otherwise be answered as possibly run, though no byte of it was written.
+			if outcome == policy.TimedOut && h.effect != policy.Redeliverable && p.abort(IfUnwritten) {
+				outcome = policy.ConnectFailed
 			}
 			p.abort(Always)
-			e.pushEnded(h, p, Result{Outcome: how})
+			e.pushEnded(h, p, Result{Outcome: outcome})
 			return
 		}
 	}
 }
 
-// Cancel gives up a push; its outcome follows once the module has returned.
-func (e *Engine) Cancel(id uint32, n int) {
+// Cancel aborts a push; its outcome is reported after the module has returned.
+func (e *Engine) Cancel(id uint32, number int) {
 	if h := e.records[id]; h != nil {
 		for _, p := range h.openPushes {
-			if p.number == n {
+			if p.number == number {
 				p.abort(Always)
 				e.deferred = append(e.deferred, func() { e.drop(h, p, policy.Cancelled) })
 			}
@@ -82,18 +82,18 @@
 }
 
 // Nack answers that a retry is safe.
-func (e *Engine) Nack(id uint32, comeBack policy.Time) {
+func (e *Engine) Nack(id uint32, retryAfter policy.Time) {
 	if h := e.open(id); h != nil {
 		e.endOp(h)
 		if e.claimAnswer(h) {
 			e.Counters.Nacked++
-			h.Reply.Nacked(time.Duration(max(comeBack, 0)) * timeUnit)
+			h.Reply.Nacked(time.Duration(max(retryAfter, 0)) * timeUnit)
 		}
 		e.deferred = append(e.deferred, func() { e.releaseOp(h) })
 	}
 }
 
-// DeadLetter answers with no promise about the op's effect.
+// DeadLetter answers without any statement about whether the op took effect.
 func (e *Engine) DeadLetter(id uint32) {
 	if h := e.open(id); h != nil {
 		e.endOp(h)
@@ -105,7 +105,7 @@
 	}
 }
 
-// open finds an op that still owes its answer.
+// open returns an op that has no answer yet, or nil.
 func (e *Engine) open(id uint32) *opRecord {
 	if h := e.records[id]; h != nil && !h.ended {
 		return h
@@ -114,16 +114,16 @@
 	return nil
 }
 
-// Timer gives a token back after a span.
+// Timer passes the token to the module's TimerDue after a duration.
 func (e *Engine) Timer(token uint64, after policy.Time) {
 	e.timers.set(e.now+max(after, 1), func() { e.module.TimerDue(token) })
 }
 
-// SendToPeers: proxies on sockets have no way to talk to each other yet; a message to peers may be lost.
+// SendToPeers does nothing: proxies on sockets have no channel to each other yet, and messages to peers may be lost.
 func (e *Engine) SendToPeers([]byte) {}
 
-// Probe asks a cache for its load report, on a connection that no op waits behind: each carries one thing at a time.
-// One probe is out to a cache at most, and for so long at most; whatever comes of it, the module hears once.
+// Probe asks a cache for its load report. Each connection carries one request at a time, so no op waits behind a probe. At most one probe
+// per cache is in flight, for at most probeTimeout; the module is told its outcome exactly once.
 func (e *Engine) Probe(cache uint32) {
 	s := e.servers[cache]
 	if s == nil || s.probing {
@@ -132,33 +132,33 @@
 	}
 	e.Counters.Probes++
 	s.probing = true
-	over, until := false, e.now+probeTimeout
+	ended, until := false, e.now+probeTimeout
 	end := func(r Result) {
-		if over {
+		if ended {
 			return
 		}
-		over, s.probing = true, false
-		told := r.Outcome == policy.Acked && r.Err == nil
-		if !told {
+		ended, s.probing = true, false
+		reported := r.Outcome == policy.Acked && r.Err == nil
+		if !reported {
 			e.Counters.ProbesFailed++
 		}
-		e.module.Probed(cache, told, r.QueueLength, r.OpsPerSecond)
+		e.module.Probed(cache, reported, r.QueueLength, r.OpsPerSecond)
 	}
-	giveUp := s.Push(&Request{Probe: true}, e.wallTime(until), func(r Result) { e.queue.put(probeEvent, func() { end(r) }) })
+	abort := s.Push(&Request{Probe: true}, e.wallTime(until), func(r Result) { e.queue.put(probeEvent, func() { end(r) }) })
 	s.cancelProbe = func() {
-		if !over && giveUp(IfUnwritten) {
+		if !ended && abort(IfUnwritten) {
 			end(Result{Outcome: policy.NotSent})
 		}
 	}
 	e.timers.set(until, func() {
-		if !over {
-			giveUp(Always)
+		if !ended {
+			abort(Always)
 			end(Result{Outcome: policy.TimedOut})
 		}
 	})
 }
 
-// Watch switches the list's watch.
+// Watch switches the watch of the discovery list on or off.
 func (e *Engine) Watch(on bool) { e.catalog.Watch(on) }
 
 // CloseIdle closes idle connections to a cache.
@@ -168,5 +168,5 @@
 	}
 }
 
-// Log writes the module's text.
+// Log logs a message of the module.
 func (e *Engine) Log(text string) { e.Logger.Info().Str("from", "module").Msg(text) }
--- a/internal/engine/progress.go
+++ b/internal/engine/progress.go
@@ -6,45 +6,44 @@
 	"time"
 )
 
-// progress is how far an op has come. It moves forward only, and in one step, whichever goroutine takes it: the engine's, or the one that answers
-// while the engine is behind.
+// progress is the state of an op. It only moves forward, atomically, whether by the engine's goroutine or by the lag responder.
 type progress uint32
 
 const (
-	opWaiting  progress = iota // no attempt has begun
-	opBegun                    // an attempt has begun: it may run
-	opAnswered                 // its one final answer is given, or nobody waits for it: no attempt begins any more
+	opWaiting  progress = iota // no push has begun
+	opBegun                    // a push has begun: the op may run
+	opAnswered                 // the final answer is given, or nobody waits for it: no further push may begin
 )
 
-// beginPush moves an op on to its next attempt, and tells whether that may begin.
+// beginPush moves an op on to its next push and reports whether that push may begin.
 func (o *Op) beginPush() bool {
 	return o.progress.CompareAndSwap(uint32(opWaiting), uint32(opBegun)) || progress(o.progress.Load()) == opBegun
 }
 
-// claim takes the one right to answer an op, from whatever it has come to.
+// claim acquires the exclusive right to answer an op, from any state.
 func (o *Op) claim() (from progress, ok bool) {
 	from = progress(o.progress.Swap(uint32(opAnswered)))
 	return from, from != opAnswered
 }
 
-// claimIfWaiting takes it only if no attempt has begun.
+// claimIfWaiting acquires it only if no push has begun.
 func (o *Op) claimIfWaiting() bool {
 	return o.progress.CompareAndSwap(uint32(opWaiting), uint32(opAnswered))
 }
 
-// Trace is when an op came to each of its states, as nanoseconds since its last byte may have come; 0: it did not. Any goroutine may read it.
+// Trace records when an op reached each state, in nanoseconds since ReceivedAt; 0: not reached. Any goroutine may read it.
 type Trace struct {
 	Submitted, Arrived, FirstPush, Answered atomic.Int64
 	Pushes                                  atomic.Int32
-	AnsweredDuringLag                       atomic.Bool // it was answered while the engine was behind
+	AnsweredDuringLag                       atomic.Bool // the lag responder answered it
 }
 
-// markTime notes a state's first time.
+// markTime records the first time at which a state was reached.
 func (o *Op) markTime(state *atomic.Int64, now time.Time) {
 	state.CompareAndSwap(0, max(int64(now.Sub(o.ReceivedAt)), 1))
 }
 
-// unansweredOps are the ops that were handed in and have no final answer yet.
+// unansweredOps is the set of submitted ops without a final answer.
 type unansweredOps struct {
 	mu  sync.Mutex
 	ops map[*Op]struct{}
@@ -65,14 +64,14 @@
 	delete(s.ops, o)
 }
 
-// matching gives the ops for which a test holds.
-func (s *unansweredOps) matching(is func(*Op) bool) (some []*Op) {
+// matching returns the ops for which the predicate holds.
+func (s *unansweredOps) matching(predicate func(*Op) bool) (matches []*Op) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for o := range s.ops {
-		if is(o) {
-			some = append(some, o)
+		if predicate(o) {
+			matches = append(matches, o)
 		}
 	}
-	return some
+	return matches
 }
--- a/internal/engine/queue.go
+++ b/internal/engine/queue.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// eventKind is what an event is about.
+// eventKind classifies events for the counters.
 type eventKind uint8
 
 const (
@@ -15,7 +15,7 @@
 	leaveEvent
 	listEvent
 	probeEvent
-	callEvent // of an operator, or the daemon
+	callEvent // by an operator or the daemon
 	answeredEvent
 	timerEvent
 	eventKindCount
@@ -31,22 +31,22 @@
 	run      func()
 }
 
-// queue is the one way to the engine. Putting never blocks: what a front may hold is bounded before it puts,
-// and a server's results are bounded by the pushes that are out.
+// queue carries all input to the engine's goroutine. put never blocks. The queue is bounded because fronts are limited in what they submit
+// and servers' results by the pushes in flight.
 type queue struct {
 	mu       sync.Mutex
 	events   []event
-	calls    []func()    // operators' calls
-	hasCalls atomic.Bool // of those
+	calls    []func()    // operators' calls, run before all events
+	hasCalls atomic.Bool // whether calls is not empty
 	wake     chan struct{}
 }
 
-func (q *queue) put(kind eventKind, do func()) {
+func (q *queue) put(kind eventKind, run func()) {
 	q.mu.Lock()
-	q.events = append(q.events, event{time.Now(), kind, do})
-	first := len(q.events) == 1
+	q.events = append(q.events, event{time.Now(), kind, run})
+	wasEmpty := len(q.events) == 1
 	q.mu.Unlock()
-	if first {
+	if wasEmpty {
 		select {
 		case q.wake <- struct{}{}:
 		default:
@@ -54,8 +54,8 @@
 	}
 }
 
-// oldest is when the event was put that has waited for longest.
-func (q *queue) oldest() (at time.Time, some bool) {
+// oldest returns when the longest-waiting event was queued.
+func (q *queue) oldest() (at time.Time, ok bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if len(q.events) == 0 {
@@ -64,7 +64,7 @@
 	return q.events[0].queuedAt, true
 }
 
-// take swaps the waiting events for an empty slice.
+// take returns the waiting events and leaves an empty slice in their place.
 func (q *queue) take(empty []event) []event {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -73,10 +73,10 @@
 	return events
 }
 
-// putCall hands in what is done before all else.
-func (q *queue) putCall(do func()) {
+// putCall queues a call that runs before all events.
+func (q *queue) putCall(call func()) {
 	q.mu.Lock()
-	q.calls = append(q.calls, do)
+	q.calls = append(q.calls, call)
 	q.hasCalls.Store(true)
 	q.mu.Unlock()
 	select {
@@ -91,8 +91,8 @@
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	early := q.calls
+	calls := q.calls
 	q.calls = nil
 	q.hasCalls.Store(false)
-	return early
+	return calls
 }
--- a/internal/engine/settings_test.go
+++ b/internal/engine/settings_test.go
@@ -14,7 +14,7 @@
 	"minttray/policy"
 )
 
-// fullSettings has each field that settings.Decode reads.
+// fullSettings contains every field that settings.Decode reads.
 const fullSettings = `{"balancers":3,"beyond-share-benefit":0.1,"blend":{"full-at-nines":2,"nines-part":0.2},
 "categories":[{"benefit":2,"dedup-window-us":300000,"effect":"idempotency_key","group":"zone","name":"put","tardy-benefit":0.3,"target-latency-us":100000,"ttl-us":300000},
 {"benefit":1,"dedup-window-us":0,"effect":"read_like","group":"","name":"get","tardy-benefit":0,"target-latency-us":100000,"ttl-us":200000}],
@@ -26,8 +26,8 @@
 "load-report":{"fields":["svc_ms","queue","qps"],"how":"on_probe"},"skus":["box","origin"],
 "tenants":[{"name":"acme","quota-rps":100},{"name":"other","quota-rps":1}],"tick-us":5000,"weights":"rough","zone":1,"zones":["a","b"]}`
 
-// Danger: a figure that is right by its form, and another customer's, brings the module to a panic, or to ops that never end. Each field in its
-// turn is absent, null, nothing, tiny or huge; whatever is taken plays ops against servers that answer, turn away, fail and are silent.
+// Guards against settings that are well-formed but make the module panic or leave ops open. Each field in turn is absent, null, empty, tiny
+// or huge; settings that are accepted must serve ops against servers that answer, reject, fail and stay silent.
 func TestAnySettingsThatAreTakenServe(t *testing.T) {
 	var good any
 	if err := json.Unmarshal([]byte(fullSettings), &good); err != nil {
@@ -61,7 +61,7 @@
 	}
 }
 
-// paths names what stands in a document, as a.b.0.c.
+// paths returns the paths of all values in a document, such as a.b.0.c.
 func paths(v any, at string) (all []string) {
 	switch v := v.(type) {
 	case map[string]any:
@@ -76,7 +76,7 @@
 	return all
 }
 
-// withValue is the whole text with one value in another's place.
+// withValue returns fullSettings with one value replaced.
 func withValue(path, value string) string {
 	var doc any
 	json.Unmarshal([]byte(fullSettings), &doc)
@@ -107,7 +107,7 @@
 	return string(text)
 }
 
-// runOps plays ops on an engine whose clock stands in the test's hand, and tells what went wrong.
+// runOps runs ops on an engine whose clock the test controls, and returns a description of the first fault.
 func runOps(t *testing.T, from settings.Settings) (fault string) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -128,7 +128,7 @@
 	}
 	e.Start(noCatalog{}, list)
 	turn := func(span time.Duration) {
-		e.clockStart = e.clockStart.Add(-span) // the clock goes on
+		e.clockStart = e.clockStart.Add(-span) // advances the engine's clock
 		for _, ev := range e.queue.take(nil) {
 			e.handleEvent(ev.kind, ev.run)
 		}
@@ -167,7 +167,7 @@
 	return ""
 }
 
-// variedServer is all servers at once: they answer by turns, or not at all.
+// variedServer stands for all servers: it cycles through outcomes, or does not answer.
 type variedServer struct {
 	n       int
 	due     []func()
@@ -177,7 +177,7 @@
 func (s *variedServer) Push(r *Request, until time.Time, done func(Result)) func(AbortCondition) bool {
 	s.n++
 	switch how := []policy.Outcome{policy.Acked, policy.Acked, policy.Miss, policy.Rejected, policy.Errored, policy.ConnectionLost, policy.ConnectFailed}[s.n%7]; {
-	case s.n%11 == 0: // it is silent
+	case s.n%11 == 0: // no answer
 	default:
 		s.due = append(s.due, func() { done(Result{Outcome: how, Value: []byte("v"), QueueLength: 1, OpsPerSecond: 10}) })
 	}
--- a/internal/engine/timers.go
+++ b/internal/engine/timers.go
@@ -8,7 +8,7 @@
 
 type timer struct {
 	dueAt    policy.Time
-	seq      uint64 // timers due at one moment fire in the order in which they were set
+	seq      uint64 // timers with the same due time fire in the order in which they were set
 	callback func()
 }
 
@@ -36,7 +36,7 @@
 	heap.Push(t, timer{at, t.seq, do})
 }
 
-// popDue takes the first timer if its time has come.
+// popDue removes and returns the callback of the earliest timer if it is due, otherwise nil.
 func (t *timers) popDue(now policy.Time) func() {
 	if len(t.heap) == 0 || t.heap[0].dueAt > now {
 		return nil
--- a/internal/engine/types.go
+++ b/internal/engine/types.go
@@ -1,5 +1,5 @@
-// Package engine owns the decision module: one goroutine runs it, and all else reaches it through one queue.
-// It speaks ops, pushes and outcomes; what they look like on a wire is its callers' business.
+// Package engine runs the decision module of one proxy. A single goroutine owns the module and everything else reaches it through one
+// queue. The package deals in ops, pushes and outcomes; their wire formats belong to its callers.
 package engine
 
 import (
@@ -14,32 +14,32 @@
 	"minttray/policy"
 )
 
-// Request is what goes on to a server, apart from its form on the wire.
+// Request is what is sent to a server, independent of the wire format.
 type Request struct {
 	Key, ID    string
 	Write      bool
 	Properties deadline.Properties
-	Deadline   deadline.Deadline // its client's; once the request is submitted, the engine alone may lower it, and does so ahead of attempts
+	Deadline   deadline.Deadline // the client's deadline; after Submit only the engine may lower it, and only before the first push
 	Value      []byte
-	Parts      [][]byte // a value that is longer than Whole, in its place
-	Probe      bool     // no op, but the question for a load report
+	Parts      [][]byte // replaces Value for a value longer than MaxContiguousBytes
+	Probe      bool     // a request for a load report in place of an op
 
-	left atomic.Bool
+	abandoned atomic.Bool
 }
 
-// Abandoned tells whether the op's client has gone away: no byte of it is sent from there on, however far behind the engine is.
-func (r *Request) Abandoned() bool { return r.left.Load() }
+// Abandoned reports whether the op's client has left. From then on no byte of the request is sent, however late the engine runs.
+func (r *Request) Abandoned() bool { return r.abandoned.Load() }
 
-// Abandon tells that it has.
-func (r *Request) Abandon() { r.left.Store(true) }
+// Abandon marks the request as abandoned by its client.
+func (r *Request) Abandon() { r.abandoned.Store(true) }
 
-// MaxContiguousBytes is the longest value that is held in one piece, MaxValueBytes that there is.
+// MaxContiguousBytes is the longest value kept in one slice, MaxValueBytes the longest value accepted.
 const (
 	MaxContiguousBytes = 64 << 10
 	MaxValueBytes      = 4 << 20
 )
 
-// Size is the value's length.
+// Size returns the length of the value in bytes.
 func (r *Request) Size() (n int) {
 	for _, part := range r.Parts {
 		n += len(part)
@@ -47,93 +47,93 @@
 	return n + len(r.Value)
 }
 
-// NoTenant is the number of who has no share, whatever tenants there are.
+// NoTenant is the index of an op without a tenant, whatever tenants are configured.
 const NoTenant = math.MaxInt32
 
-// Op is one op as a front takes it.
+// Op is one client op as submitted by the front.
 type Op struct {
-	ReceivedAt       time.Time // when its last byte may have come
-	Key              uint64    // 0: none
+	ReceivedAt       time.Time // when the last byte may have arrived at the earliest
+	Key              uint64    // hash of the key; 0: no key
 	Category, Tenant int
-	IsRetry          bool // marked as a try that comes again
+	IsRetry          bool // the client marked the op as a retry
 	Request          Request
 	Reply            Replier
-	OnRelease        func() // called on the engine's goroutine once nothing of the request is needed any more; may be nil
+	OnRelease        func() // called on the engine's goroutine when the request is no longer used; may be nil
 
-	Trace Trace // when it came to each of its states
+	Trace Trace // when the op reached each of its states
 
-	clientWait time.Duration // of its client, from At on; set as it is submitted
-	record     *opRecord     // the engine's record, once it has one
+	clientWait time.Duration // how long the client waits, from ReceivedAt; set by Submit
+	record     *opRecord     // the engine's record, nil until the op has arrived there
 	progress   atomic.Uint32
-	ackedValue atomic.Pointer[[]byte] // the value of an attempt's answer, as it came
+	ackedValue atomic.Pointer[[]byte] // value of the first push that was acked
 }
 
-// Replier takes an op's one final answer. Its methods are called on the engine's goroutine and must not block.
+// Replier receives an op's single final answer. Calls come from the engine's goroutine, or the lag responder's while the engine lags, and
+// must not block.
 type Replier interface {
 	Acked(value []byte)
 	Streamed(body Body)
-	Nacked(comeBack time.Duration) // 0: no advice
+	Nacked(retryAfter time.Duration) // retryAfter 0: no advice on when to retry
 	DeadLettered()
 }
 
-// Body is a value that is longer than Whole, as it comes. Whoever was handed it reads it to its end or closes it; an error in
-// place of the end means that what was read is not the whole value.
+// Body is a value longer than MaxContiguousBytes, read as it arrives. The receiver must read it to its end or close it; an error before
+// the end means that the value is incomplete.
 type Body struct {
 	Size int
 	io.ReadCloser
 }
 
-// Result is how a push ended.
+// Result is the outcome of a push.
 type Result struct {
 	Outcome         policy.Outcome
-	Missed          bool // the cache said that it had to fetch
+	Missed          bool // the cache reported that it fetched from the origin
 	Value           []byte
-	Body            Body        // in its place, with a size above 0
-	Err             error       // for the log
-	ReportedLatency policy.Time // how long ops take at the cache by its own report; 0: it said nothing
-	ReportInvalid   bool        // a report was there, but said nothing that can be
-	// What a probe's report says: ops that wait, and ops done in a second.
+	Body            Body        // replaces Value if its size is above 0
+	Err             error       // for logging only
+	ReportedLatency policy.Time // latency per op in the cache's load report; 0: no report
+	ReportInvalid   bool        // a load report was present but unusable
+	// Contents of the load report that answers a probe: queued ops, and ops completed per second.
 	QueueLength, OpsPerSecond float64
 }
 
-// AbortCondition says how far a push may have come to be given up.
+// AbortCondition limits a call to abort a push to pushes that have not got beyond a given point.
 type AbortCondition uint8
 
 const (
 	Always      AbortCondition = iota
-	IfUnwritten                // no byte of it has been written: it has never run
-	IfUnsent                   // its last byte has not come to the server's system, by the word of ours: it may have run, if that word is old
+	IfUnwritten                // only if no byte of it was written: it never ran
+	IfUnsent                   // only if the local kernel has not seen its last byte acknowledged: it may have run if that information is out of date
 )
 
-// Server is one cache or origin. None of its methods may block.
+// Server is one cache or the origin. No method may block.
 type Server interface {
-	// Push sends a request; until is how long the answer is waited for. The result comes once through done, on
-	// another goroutine. After the function returned here has been called, the push is no longer out on an
-	// open connection, and its result, if one still comes, counts for nothing. It does so only as far as when says, and
-	// tells whether.
-	Push(r *Request, until time.Time, done func(Result)) (giveUp func(when AbortCondition) bool)
+	// Push sends a request and waits for its answer until the given time. The result is passed to done once, on another goroutine.
+	// The returned function aborts the push if the condition holds, and reports whether it did. After an abort the push is no longer
+	// in flight on an open connection, and a result that still arrives is ignored.
+	Push(r *Request, until time.Time, done func(Result)) (abort func(condition AbortCondition) bool)
 	Release() // closes idle connections
-	Retire()  // closes idle connections, and the others once their push has ended
+	Retire()  // closes idle connections at once, the others when their push has ended
 }
 
-// Member is one entry of the list, with the address that this proxy reaches it by.
+// Member is one entry of the discovery list, with the address by which this proxy reaches it.
 type Member struct {
 	policy.Entry
 	Addr string
 	Name string // the same at every proxy
 }
 
-// Catalog is the list service, as the module may switch it on and off. It must not block.
+// Catalog is the discovery service, whose watch the module switches on and off. It must not block.
 type Catalog interface{ Watch(on bool) }
 
-// Module is what decides for one proxy; policy.Balancer is the one that serves. The engine calls it on its one
-// goroutine, and it acts through the policy.Host that it was made with.
+// Module makes the decisions for one proxy; policy.Balancer is the implementation in production. The engine calls it on its single
+// goroutine, and it acts through the policy.Host that it was created with.
 type Module interface {
 	ListArrived(kind policy.ListKind, entries []policy.Entry)
-	OpArrived(id uint32, key uint64, category, account int, write, again bool, left policy.Time)
-	Reported(cache uint32, pace policy.Time)
-	Probed(cache uint32, told bool, waiting, rate float64)
-	PushEnded(id uint32, n int, how policy.Outcome, missed, terminal bool, taken policy.Time)
+	OpArrived(id uint32, key uint64, category, tenant int, write, isRetry bool, remaining policy.Time)
+	Reported(cache uint32, latency policy.Time)
+	Probed(cache uint32, reported bool, queueLength, opsPerSecond float64)
+	PushEnded(id uint32, number int, outcome policy.Outcome, missed, terminal bool, duration policy.Time)
 	ClientLeft(id uint32)
 	TimerDue(token uint64)
 	Retune(s policy.Settings)
--- a/internal/pulse/monitor.go
+++ b/internal/pulse/monitor.go
@@ -1,5 +1,5 @@
-// Package pulse tells whether this process was run when it was due. What a process reads late, as it was stopped or had no processor, has
-// waited for it, and its time has gone on meanwhile: the moment of the read is too late a start for a deadline.
+// Package pulse detects stalls of the whole process, such as being stopped or getting no CPU time. Data read after a stall may have
+// arrived at any time during it, so the time of the read would be too late a start for a deadline.
 package pulse
 
 import (
@@ -8,26 +8,27 @@
 )
 
 const (
-	// BeatInterval is the longest time between two beats of a process that is run when it is due.
+	// BeatInterval is the maximum time between two beats of a process that is not stalled.
 	BeatInterval = 20 * time.Millisecond
-	// stallThreshold is a pause between two beats that counts as none: timers are late by some milliseconds on any busy machine.
+	// stallThreshold is the pause between two beats above which the process counts as stalled. On a busy machine timers fire some
+	// milliseconds late.
 	stallThreshold = 2 * BeatInterval
-	// recovery is how long after a stall there may still be something to handle that came within it: all that piled up comes at once.
+	// recovery is the time after a stall during which input that arrived within the stall may still be unread: it all becomes readable at once.
 	recovery = 5 * BeatInterval
 )
 
-// Monitor is fed by a goroutine that beats, and asked by all others. A nil one knows of no stall.
+// Monitor receives beats from one or more goroutines and may be queried from any. A nil Monitor reports no stalls.
 type Monitor struct {
 	mu         sync.Mutex
-	lastBeat   time.Time // beat
-	stallStart time.Time // the last beat ahead of the last stall
-	stallEnd   time.Time // the first one after it
+	lastBeat   time.Time // time of the last beat
+	stallStart time.Time // last beat before the most recent stall
+	stallEnd   time.Time // first beat after the most recent stall
 }
 
-// New makes a pulse that has beaten once.
+// New returns a Monitor whose first beat is at now.
 func New(now time.Time) *Monitor { return &Monitor{lastBeat: now} }
 
-// Beat says that the process runs. It must come at least once in Every.
+// Beat records that the process is running. It must be called at least once per BeatInterval.
 func (p *Monitor) Beat(now time.Time) {
 	if p == nil {
 		return
@@ -40,8 +41,8 @@
 	p.lastBeat = now
 }
 
-// EarliestArrival is the earliest moment at which something may have come that waited for this process until now: now itself, unless the process
-// stands in a stall, or has just left one.
+// EarliestArrival returns the earliest time at which input read at now may have arrived. That is now itself, unless the process is in a
+// stall or has just recovered from one.
 func (p *Monitor) EarliestArrival(now time.Time) time.Time {
 	if p == nil {
 		return now
--- a/internal/state/snapshot.go
+++ b/internal/state/snapshot.go
@@ -12,38 +12,38 @@
 	"minttray/decide/warm"
 )
 
-// SnapshotFile is the file in which what was learned outlives a restart. It belongs to one goroutine at a time.
+// SnapshotFile is the file that keeps learned state across a restart. It must be used by one goroutine at a time.
 type SnapshotFile struct {
-	MaxAge, HalfLife time.Duration // age up to which one is taken, and after which it counts for half
-	KeyWindow        time.Duration // for which kept keys are known
+	MaxAge, HalfLife time.Duration // a snapshot older than MaxAge is rejected; its figures are halved once per HalfLife
+	KeyWindow        time.Duration // time for which kept keys are remembered
 
 	path, proxy, settings string
 	lock                  *os.File
-	failures              int // writes in a row
+	failures              int // consecutive failed writes
 	nextWrite             time.Time
 }
 
-// snapshot is what the file holds.
+// snapshot is the payload of the file.
 type snapshot struct {
 	At       time.Time         `json:"at"`
 	Settings string            `json:"settings"`
 	Memory   warm.LearnedState `json:"memory"`
 }
 
-// ErrNoSnapshot means that there is no snapshot.
+// ErrNoSnapshot means that there is no snapshot file.
 var ErrNoSnapshot = errors.New("state: no snapshot")
 
 const (
-	maxClockSkew        = 2 * time.Second // clocks may differ by so much
-	maxBackoffDoublings = 6               // waits after writes that failed, in a row
+	maxClockSkew        = 2 * time.Second // allowed difference between clocks
+	maxBackoffDoublings = 6               // limit of the exponential backoff between failed writes
 )
 
-// OpenSnapshotFile names the file of one proxy in a lasting directory. settings tells in short what it is learned under.
+// OpenSnapshotFile returns the snapshot file of one proxy in a persistent directory. settings is a digest of the settings in force.
 func OpenSnapshotFile(dir, proxy, listen, settings string) *SnapshotFile {
 	s := &SnapshotFile{path: Open(dir, proxy, listen).path + ".learned", proxy: proxy, settings: settings}
-	// What a process left that was killed while it wrote: renamed by nobody, it would stay for ever.
-	left, _ := filepath.Glob(filepath.Join(dir, "."+filepath.Base(s.path)+"*"))
-	for _, path := range left {
+	// Remove temporary files of processes that were killed during a write: nothing else would ever rename or delete them.
+	leftovers, _ := filepath.Glob(filepath.Join(dir, "."+filepath.Base(s.path)+"*"))
+	for _, path := range leftovers {
 		if info, err := os.Stat(path); err == nil && time.Since(info.ModTime()) > time.Minute {
 			os.Remove(path)
 		}
@@ -51,44 +51,44 @@
 	return s
 }
 
-// Load reads what a process before this one has left, as far as it counts by now. ErrNone: there is nothing; any other error
-// tells why what is there is not used.
+// Load reads the snapshot left by an earlier process and decays it according to its age. It returns ErrNoSnapshot if there is none; any
+// other error says why the snapshot cannot be used.
 func (s *SnapshotFile) Load(now time.Time) (m *warm.LearnedState, age time.Duration, err error) {
-	var shot snapshot
-	if err := readFile(s.path, s.proxy, maxMemoryBytes, &shot); errors.Is(err, fs.ErrNotExist) {
+	var stored snapshot
+	if err := readFile(s.path, s.proxy, maxMemoryBytes, &stored); errors.Is(err, fs.ErrNotExist) {
 		return nil, 0, ErrNoSnapshot
 	} else if err != nil {
 		return nil, 0, err
 	}
-	switch age = now.Sub(shot.At); {
-	case shot.Settings != s.settings:
-		return nil, age, errors.New("state: learned under other settings")
-	case age < -maxClockSkew: // Danger: by a clock that was put back, it would never be old.
-		return nil, age, fmt.Errorf("state: written %v from now: a clock was changed", -age)
+	switch age = now.Sub(stored.At); {
+	case stored.Settings != s.settings:
+		return nil, age, errors.New("state: snapshot was learned under other settings")
+	case age < -maxClockSkew: // If the clock was set back, the snapshot would otherwise never expire.
+		return nil, age, fmt.Errorf("state: snapshot is dated %v in the future: a clock was changed", -age)
 	case age > s.MaxAge:
-		return nil, age, fmt.Errorf("state: %v old, at most %v", age.Round(time.Millisecond), s.MaxAge)
+		return nil, age, fmt.Errorf("state: snapshot is %v old, at most %v", age.Round(time.Millisecond), s.MaxAge)
 	}
-	if err := shot.Memory.Check(); err != nil {
+	if err := stored.Memory.Check(); err != nil {
 		return nil, age, fmt.Errorf("state: memory: %w", err)
 	}
 	age = max(age, 0)
 	const unit = 100 * time.Microsecond
-	shot.Memory.Decay(int64(age/unit), int64(s.HalfLife/unit), int64(s.KeyWindow/unit))
-	return &shot.Memory, age, nil
+	stored.Memory.Decay(int64(age/unit), int64(s.HalfLife/unit), int64(s.KeyWindow/unit))
+	return &stored.Memory, age, nil
 }
 
-// SetSettings tells that other settings are in force.
+// SetSettings sets the digest of the settings in force.
 func (s *SnapshotFile) SetSettings(settings string) { s.settings = settings }
 
-// AcquireWriteLock tells whether this process is the one that writes: of two with one file, the one that came first, until it ends,
-// however it does.
+// AcquireWriteLock reports whether this process may write the file. Of several processes with the same file, the first to lock it may,
+// until it exits, even if it is killed.
 func (s *SnapshotFile) AcquireWriteLock() bool {
 	if s.lock != nil {
 		return true
 	}
 	f, err := os.OpenFile(s.path+".writes", os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
-		return true // nothing can be written there either, and that is told
+		return true // the write fails in the same directory and reports the error
 	}
 	if syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB) != nil {
 		f.Close()
@@ -98,13 +98,13 @@
 	return true
 }
 
-// Due tells whether to write now. After a write that failed it waits, longer with each in a row: a full disk is not tried
-// at every turn.
+// Due reports whether to write now. After a failed write the delay doubles with each consecutive failure, so that a full disk is not
+// retried at every interval.
 func (s *SnapshotFile) Due(now time.Time) bool {
 	return !now.Before(s.nextWrite) && s.AcquireWriteLock()
 }
 
-// Write puts what was learned in the place of what was there. first: the first failure in a row, which is worth a word.
+// Write replaces the snapshot. first is true for the first of several consecutive failures, so that the caller logs only that one.
 func (s *SnapshotFile) Write(m warm.LearnedState, now time.Time, every time.Duration) (first bool, err error) {
 	if err = writeFile(s.path, s.proxy, snapshot{now, s.settings, m}); err != nil {
 		s.nextWrite = now.Add(every << min(s.failures, maxBackoffDoublings))
@@ -115,7 +115,7 @@
 	return false, nil
 }
 
-// Close lets another process write.
+// Close releases the write lock.
 func (s *SnapshotFile) Close() {
 	if s.lock != nil {
 		s.lock.Close()
--- a/internal/state/snapshot_test.go
+++ b/internal/state/snapshot_test.go
@@ -45,7 +45,7 @@
 	}
 }
 
-// Danger: a process that was killed as it wrote leaves half a file, and the next takes it for whole, or falls over it.
+// Guards against using a snapshot that was cut short or corrupted, as after a process is killed during a write.
 func TestTornSnapshotsAreRefused(t *testing.T) {
 	dir, now := t.TempDir(), time.Now()
 	s := newSnapshotFile(dir, "one")
@@ -85,7 +85,7 @@
 	return names
 }
 
-// Danger: a disk that is full, read-only or gone takes the proxy with it, or fills its log.
+// Guards against a failing disk (full, read-only or missing) stopping the proxy or flooding its log with errors.
 func TestADiskThatTakesNothing(t *testing.T) {
 	s, now := newSnapshotFile(filepath.Join(t.TempDir(), "gone"), "one"), time.Now()
 	tried, told := 0, 0
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -1,5 +1,5 @@
-// Package state keeps what operators said in a file that outlives the process and is shared with its successor, and tells
-// whether there is one.
+// Package state keeps operators' overrides and learned state in files that outlive the process and are shared with its successor. Lock
+// files tell each process whether the other one is running.
 package state
 
 import (
@@ -25,129 +25,129 @@
 
 const (
 	formatVersion     = 1
-	maxOverridesBytes = 1 << 20 // of the file
-	maxCachesOut      = 4096    // caches
+	maxOverridesBytes = 1 << 20 // size limit of the overrides file
+	maxCachesOut      = 4096    // limit of caches taken out of service
 
-	maxMemoryBytes = 4 << 20 // of one with what was learned
+	maxMemoryBytes = 4 << 20 // size limit of files with learned state
 )
 
-// Overrides is what operators said.
+// Overrides holds what operators have set through the control port.
 type Overrides struct {
-	CachesOut    []string `json:"out"`  // caches, by id
-	DrainClients bool     `json:"away"` // clients are sent away
+	CachesOut    []string `json:"out"`  // ids of the caches that are out of service
+	DrainClients bool     `json:"away"` // clients are sent to other proxies
 
-	Sites      map[string]SiteOverride `json:"sites,omitempty"` // by name: the last word on each
-	ReturnedAt map[string]time.Time    `json:"back,omitempty"`  // caches that were out, and when they were called back
+	Sites      map[string]SiteOverride `json:"sites,omitempty"` // by site name: the last override of each
+	ReturnedAt map[string]time.Time    `json:"back,omitempty"`  // by cache id: when a cache that was out was put back in service
 }
 
-// SiteOverride is what operators said of a whole site: its caches go out, or come back, one after another over a span.
+// SiteOverride takes all caches of a site out of service, or puts them back, spread over a duration.
 type SiteOverride struct {
 	Out  bool          `json:"out"`
 	At   time.Time     `json:"at"`
-	Over time.Duration `json:"over"` // nanoseconds
+	Over time.Duration `json:"over"` // spread over this duration, in nanoseconds
 }
 
-// MaxSiteDuration is how long a site may take to go or come.
+// MaxSiteDuration limits how long taking a site out or putting it back may take.
 const MaxSiteDuration = time.Hour
 
-// maxSites is how many words on sites are kept.
+// maxSites limits the number of site overrides.
 const maxSites = 64
 
-const returnRetention = 10 * time.Minute // longer than any cache is cold
+const returnRetention = 10 * time.Minute // longer than any cache takes to warm up
 
 type envelope struct {
 	Version  int             `json:"version"`
 	Proxy    string          `json:"proxy"`
-	Checksum uint32          `json:"sum"` // of the word's text
+	Checksum uint32          `json:"sum"` // CRC-32 of Payload
 	Payload  json.RawMessage `json:"word"`
 }
 
-// Store is the file. It belongs to one goroutine at a time.
+// Store is the overrides file with its lock files. It must be used by one goroutine at a time.
 type Store struct {
 	path, proxy string
 	lastRead    fileStamp
 	roleLocks   map[string]*os.File
 }
 
-// fileStamp changes whenever the file is replaced.
+// fileStamp identifies one version of a file; it changes whenever the file is replaced.
 type fileStamp struct {
 	inode   uint64
 	size    int64
 	modTime time.Time
 }
 
-// Open names the store of one proxy; nothing is written yet. dir is shared by the processes that follow each other.
+// Open returns the store of one proxy; it writes nothing. dir is shared with the proxy's predecessor and successor processes.
 func Open(dir, proxy, listen string) *Store {
 	h := fnv.New64a()
 	h.Write([]byte(proxy + "\x00" + listen))
 	return &Store{path: filepath.Join(dir, fmt.Sprintf("minttray-%016x", h.Sum64())), proxy: proxy, roleLocks: map[string]*os.File{}}
 }
 
-// Read gives the word. None was ever said: the empty word. An error means that what stands there is not to be used.
+// Read returns the overrides, which are empty if none were ever set. An error means that the file cannot be used.
 func (s *Store) Read() (Overrides, error) {
 	s.lastRead = s.currentStamp()
 	return s.Peek()
 }
 
-// Peek gives the word as Read does, and leaves it for Changed to tell of.
+// Peek returns the overrides like Read, but does not affect what Changed reports.
 func (s *Store) Peek() (Overrides, error) {
-	var w Overrides
-	if err := readFile(s.path, s.proxy, maxOverridesBytes, &w); errors.Is(err, fs.ErrNotExist) {
+	var overrides Overrides
+	if err := readFile(s.path, s.proxy, maxOverridesBytes, &overrides); errors.Is(err, fs.ErrNotExist) {
 		return Overrides{}, nil
 	} else if err != nil {
 		return Overrides{}, err
 	}
-	if len(w.CachesOut) > maxCachesOut {
-		return Overrides{}, fmt.Errorf("state: word.out: %d caches, at most %d", len(w.CachesOut), maxCachesOut)
+	if len(overrides.CachesOut) > maxCachesOut {
+		return Overrides{}, fmt.Errorf("state: %d caches out, at most %d", len(overrides.CachesOut), maxCachesOut)
 	}
-	for name, site := range w.Sites {
-		if len(w.Sites) > maxSites || site.Over < 0 || site.Over > MaxSiteDuration {
-			return Overrides{}, fmt.Errorf("state: word.sites: %d of them, %q over %v", len(w.Sites), name, site.Over)
+	for name, site := range overrides.Sites {
+		if len(overrides.Sites) > maxSites || site.Over < 0 || site.Over > MaxSiteDuration {
+			return Overrides{}, fmt.Errorf("state: %d sites (at most %d), site %q spread over %v (at most %v)", len(overrides.Sites), maxSites, name, site.Over, MaxSiteDuration)
 		}
 	}
-	return w, nil
+	return overrides, nil
 }
 
-// readFile reads a file of this proxy strictly, so many bytes at most; with an error, what is in word is not to be used.
-func readFile(path, proxy string, most int64, word any) error {
-	in, err := os.Open(path)
+// readFile reads and verifies a file of this proxy of at most limit bytes. If it returns an error, the contents of payload must not be used.
+func readFile(path, proxy string, limit int64, payload any) error {
+	file, err := os.Open(path)
 	if err != nil {
 		return err
 	}
-	defer in.Close()
-	text, err := io.ReadAll(io.LimitReader(in, most+1))
+	defer file.Close()
+	data, err := io.ReadAll(io.LimitReader(file, limit+1))
 	if err != nil {
 		return err
 	}
-	if int64(len(text)) > most {
-		return errors.New("state: too long")
+	if int64(len(data)) > limit {
+		return fmt.Errorf("state: %s is longer than %d bytes", path, limit)
 	}
-	return decode(text, proxy, word)
+	return decode(data, proxy, payload)
 }
 
-func decode(text []byte, proxy string, word any) error {
-	var f envelope
-	if err := json.Unmarshal(text, &f); err != nil {
+func decode(data []byte, proxy string, payload any) error {
+	var e envelope
+	if err := json.Unmarshal(data, &e); err != nil {
 		return fmt.Errorf("state: %w", err)
 	}
 	switch {
-	case f.Version != formatVersion:
-		return fmt.Errorf("state: version %d, not %d", f.Version, formatVersion)
-	case f.Proxy != proxy:
-		return fmt.Errorf("state: of proxy %q", f.Proxy)
-	case crc32.ChecksumIEEE(f.Payload) != f.Checksum:
-		return errors.New("state: checksum differs")
+	case e.Version != formatVersion:
+		return fmt.Errorf("state: format version %d, expected %d", e.Version, formatVersion)
+	case e.Proxy != proxy:
+		return fmt.Errorf("state: file of proxy %q, expected %q", e.Proxy, proxy)
+	case crc32.ChecksumIEEE(e.Payload) != e.Checksum:
+		return fmt.Errorf("state: checksum is %08x, expected %08x", crc32.ChecksumIEEE(e.Payload), e.Checksum)
 	}
-	strict := json.NewDecoder(bytes.NewReader(f.Payload))
+	strict := json.NewDecoder(bytes.NewReader(e.Payload))
 	strict.DisallowUnknownFields()
-	if err := strict.Decode(word); err != nil {
-		return fmt.Errorf("state: word: %w", err)
+	if err := strict.Decode(payload); err != nil {
+		return fmt.Errorf("state: payload: %w", err)
 	}
 	return nil
 }
 
-// Update reads the word, has it changed and writes it, all under a lock. What can't be used is replaced.
-func (s *Store) Update(do func(*Overrides)) error {
+// Update reads, changes and writes the overrides under a lock. An unusable file is replaced.
+func (s *Store) Update(change func(*Overrides)) error {
 	lock, err := os.OpenFile(s.path+".lock", os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
 		return err
@@ -156,52 +156,52 @@
 	if err := syscall.Flock(int(lock.Fd()), syscall.LOCK_EX); err != nil {
 		return err
 	}
-	w, _ := s.Read()
-	do(&w)
-	slices.Sort(w.CachesOut)
-	maps.DeleteFunc(w.ReturnedAt, func(_ string, at time.Time) bool { return time.Since(at) > returnRetention })
-	maps.DeleteFunc(w.Sites, func(_ string, s SiteOverride) bool { return !s.Out && time.Since(s.At) > s.Over+returnRetention })
-	if len(w.Sites) > maxSites {
+	overrides, _ := s.Read()
+	change(&overrides)
+	slices.Sort(overrides.CachesOut)
+	maps.DeleteFunc(overrides.ReturnedAt, func(_ string, at time.Time) bool { return time.Since(at) > returnRetention })
+	maps.DeleteFunc(overrides.Sites, func(_ string, s SiteOverride) bool { return !s.Out && time.Since(s.At) > s.Over+returnRetention })
+	if len(overrides.Sites) > maxSites {
 		return fmt.Errorf("more than %d sites", maxSites)
 	}
-	if w.CachesOut = slices.Compact(w.CachesOut); len(w.CachesOut) > maxCachesOut {
+	if overrides.CachesOut = slices.Compact(overrides.CachesOut); len(overrides.CachesOut) > maxCachesOut {
 		return fmt.Errorf("more than %d caches out", maxCachesOut)
 	}
-	return writeFile(s.path, s.proxy, w)
+	return writeFile(s.path, s.proxy, overrides)
 }
 
-func writeFile(path, proxy string, word any) error {
-	body, err := json.Marshal(word)
+func writeFile(path, proxy string, payload any) error {
+	body, err := json.Marshal(payload)
 	if err != nil {
 		return err
 	}
-	text, err := json.Marshal(envelope{formatVersion, proxy, crc32.ChecksumIEEE(body), body})
+	data, err := json.Marshal(envelope{formatVersion, proxy, crc32.ChecksumIEEE(body), body})
 	if err != nil {
 		return err
 	}
-	return renameio.WriteFile(path, text, 0o600)
+	return renameio.WriteFile(path, data, 0o600)
 }
 
-// Handover is what one process hands over to the next, once.
+// Handover is the learned state that a process passes to its successor, once.
 type Handover struct {
 	At       time.Time         `json:"at"`
-	Settings string            `json:"settings"` // that it was learned under, in short
+	Settings string            `json:"settings"` // digest of the settings under which the state was learned
 	Memory   warm.LearnedState `json:"memory"`
 }
 
-const maxHandoverAge = 2 * time.Second // what is older says little of the present
+const maxHandoverAge = 2 * time.Second // older figures say little about the present load
 
-// WriteHandover writes what is handed over.
+// WriteHandover writes the handover file.
 func (s *Store) WriteHandover(h Handover) error { return writeFile(s.path+".hand", s.proxy, h) }
 
-// RemoveHandover takes off what was handed over to nobody.
+// RemoveHandover deletes a handover file that no process has read.
 func (s *Store) RemoveHandover() { os.Remove(s.path + ".hand") }
 
-// AwaitHandover waits for what is handed over, and takes it off. Without it the process begins with nothing.
-func (s *Store) AwaitHandover(span time.Duration) (h Handover, err error) {
+// AwaitHandover waits for the handover file, reads and deletes it. If there is none, the process starts without learned state.
+func (s *Store) AwaitHandover(timeout time.Duration) (h Handover, err error) {
 	path := s.path + ".hand"
 	err = readFile(path, s.proxy, maxMemoryBytes, &h)
-	for late := time.Now().Add(span); errors.Is(err, fs.ErrNotExist) && time.Now().Before(late); {
+	for deadline := time.Now().Add(timeout); errors.Is(err, fs.ErrNotExist) && time.Now().Before(deadline); {
 		time.Sleep(5 * time.Millisecond)
 		err = readFile(path, s.proxy, maxMemoryBytes, &h)
 	}
@@ -216,12 +216,12 @@
 		return Handover{}, err
 	}
 	if age := time.Since(h.At); age < -maxHandoverAge || age > maxHandoverAge {
-		return Handover{}, fmt.Errorf("state: handed over %v ago", age)
+		return Handover{}, fmt.Errorf("state: handover is %v old, at most %v", age, maxHandoverAge)
 	}
 	return h, nil
 }
 
-// Changed tells whether the file was replaced since it was last read.
+// Changed reports whether the file was replaced since the last Read.
 func (s *Store) Changed() bool { return s.currentStamp() != s.lastRead }
 
 func (s *Store) currentStamp() fileStamp {
@@ -236,14 +236,14 @@
 	return fileStamp{inode, info.Size(), info.ModTime()}
 }
 
-// Roles of which at most one process has each.
+// Roles, each held by at most one process.
 const (
-	RoleActive  = "serves" // has been here the longest
-	RoleStandby = "next"   // waits for that
+	RoleActive  = "serves" // the process that has been running longest
+	RoleStandby = "next"   // its successor
 )
 
-// AcquireRole takes a role, until this process lets go of it or dies; false: another has it. Where locks can't be had it is
-// nobody's, and each process goes on alone.
+// AcquireRole tries to take a role, which is held until ReleaseRole or the end of the process. It returns false if another process holds
+// it. If lock files cannot be created, it returns true: each process then goes on alone.
 func (s *Store) AcquireRole(role string) bool {
 	if s.roleLocks[role] != nil {
 		return true
@@ -260,7 +260,7 @@
 	return true
 }
 
-// ReleaseRole lets go of a role.
+// ReleaseRole releases a role.
 func (s *Store) ReleaseRole(role string) {
 	if f := s.roleLocks[role]; f != nil {
 		f.Close()
@@ -268,7 +268,7 @@
 	}
 }
 
-// RoleHeldByOther tells whether another process has a role.
+// RoleHeldByOther reports whether another process holds a role.
 func (s *Store) RoleHeldByOther(role string) bool {
 	if s.roleLocks[role] != nil {
 		return false
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -31,7 +31,7 @@
 		t.Error("another proxy's word")
 	}
 	var all sync.WaitGroup
-	for i := range 20 { // both processes at once: no word is lost
+	for i := range 20 { // concurrent updates by both processes: none may be lost
 		all.Add(1)
 		go func() {
 			defer all.Done()
@@ -46,7 +46,8 @@
 	}
 }
 
-// Danger: what is half written, or another's, takes caches out that nobody named, or lets one in that is out.
+// Guards against using a file that is cut short, corrupted or of another proxy: it would take the wrong caches out of service, or return
+// one that is out.
 func TestWhatCannotBeUsedIsPassedOver(t *testing.T) {
 	dir := t.TempDir()
 	s := Open(dir, "n1", "a")
@@ -137,7 +138,7 @@
 	}
 }
 
-// Words on sites outlive their process as long as they can matter, and one that can't be meant is refused.
+// Site overrides are kept as long as they can have an effect, and a duration over the limit is rejected.
 func TestWordsOnSites(t *testing.T) {
 	dir := t.TempDir()
 	s, ago := Open(dir, "n1", "127.0.0.1:1"), time.Now().Add(-returnRetention-2*time.Second)
