--- a/internal/deadline/deadline_test.go
+++ b/internal/deadline/deadline_test.go
@@ -34,7 +34,7 @@
 			now := received.Add(c.waited)
 			passed, err := After(received, c.wait).ForAttempt(now, now.Add(c.until), c.how)
 			if c.milliseconds == 0 && !errors.Is(err, ErrNoTime) || c.milliseconds > 0 && err != nil || passed.milliseconds != c.milliseconds {
-				t.Errorf("%d ms, %v; %d ms wanted", passed.milliseconds, err, c.milliseconds)
+				t.Errorf("got %d ms, error %v; want %d ms", passed.milliseconds, err, c.milliseconds)
 			}
 		})
 	}
@@ -45,28 +45,28 @@
 func TestPassedIsWithinWhatIsLeft(t *testing.T) {
 	start := time.Now()
 	rapid.Check(t, func(t *rapid.T) {
-		span := func(name string, most time.Duration) time.Duration {
-			return time.Duration(rapid.Int64Range(0, int64(most)).Draw(t, name))
+		duration := func(name string, limit time.Duration) time.Duration {
+			return time.Duration(rapid.Int64Range(0, int64(limit)).Draw(t, name))
 		}
-		wait, waited, until := span("wait", time.Hour), span("waited", time.Minute), span("until", time.Minute)
-		how := rapid.SampledFrom([]Transfer{SingleWrite, MultipleWrites}).Draw(t, "how")
+		wait, waited, until := duration("wait", time.Hour), duration("waited", time.Minute), duration("until", time.Minute)
+		transfer := rapid.SampledFrom([]Transfer{SingleWrite, MultipleWrites}).Draw(t, "how")
 		d, now := After(start, wait), start.Add(waited)
-		passed, err := d.ForAttempt(now, now.Add(until), how)
-		left := d.Remaining(now)
-		share := map[Transfer]time.Duration{SingleWrite: singleWriteMargin, MultipleWrites: multipleWriteMargin}[how]
-		most := min(left-left/share, until)
+		passed, err := d.ForAttempt(now, now.Add(until), transfer)
+		remaining := d.Remaining(now)
+		divisor := map[Transfer]time.Duration{SingleWrite: singleWriteMargin, MultipleWrites: multipleWriteMargin}[transfer]
+		maxSent := min(remaining-remaining/divisor, until)
 		if err != nil {
-			if most >= minDeadline {
-				t.Fatalf("%v, though %v could be passed", err, most)
+			if maxSent >= minDeadline {
+				t.Fatalf("error %v, though %v could be sent", err, maxSent)
 			}
 			return
 		}
-		told := time.Duration(passed.milliseconds) * time.Millisecond
-		if told < minDeadline || told > most || told <= most-time.Millisecond {
-			t.Fatalf("%v is passed, %v could be", told, most)
+		sent := time.Duration(passed.milliseconds) * time.Millisecond
+		if sent < minDeadline || sent > maxSent || sent <= maxSent-time.Millisecond {
+			t.Fatalf("sent %v, allowed maximum %v", sent, maxSent)
 		}
-		if by := passed.WriteBy(); told > d.Remaining(by) || by.Before(now) {
-			t.Fatalf("%v is passed up to %v from now, %v are left then", told, by.Sub(now), d.Remaining(by))
+		if by := passed.WriteBy(); sent > d.Remaining(by) || by.Before(now) {
+			t.Fatalf("sent %v until %v from now, when only %v remain", sent, by.Sub(now), d.Remaining(by))
 		}
 	})
 }
@@ -75,11 +75,11 @@
 func TestAtMostOnlyLowers(t *testing.T) {
 	now := time.Now()
 	d := After(now, time.Second)
-	if left := d.AtMost(now.Add(2 * time.Second)).Remaining(now); left != time.Second {
-		t.Errorf("%v left", left)
+	if remaining := d.AtMost(now.Add(2 * time.Second)).Remaining(now); remaining != time.Second {
+		t.Errorf("%v remaining", remaining)
 	}
-	if left := d.AtMost(now.Add(time.Millisecond)).Remaining(now); left != time.Millisecond {
-		t.Errorf("%v left", left)
+	if remaining := d.AtMost(now.Add(time.Millisecond)).Remaining(now); remaining != time.Millisecond {
+		t.Errorf("%v remaining", remaining)
 	}
 }
 
--- a/internal/engine/counters.go
+++ b/internal/engine/counters.go
@@ -10,24 +10,30 @@
 
 // Counters belong to the engine's goroutine; read them through Do.
 type Counters struct {
-	Taken, Acked, Nacked, DeadLettered int
-	ClientsLeft                        int // clients that left before their answer
-	AnsweredAtShutdown                 int // ops answered by AnswerAllOpen
-	Withdrawn                          int // pushes aborted before a byte of them was written
-	OverdueOps, LateAnswers            int // both stay 0 while the module keeps its contract
-	Sent                               int
-	Pushes                             [policy.Miss + 1]int // by outcome
-	Lists                              int
-	Reports                            int // load reports with a latency
-	InvalidReports                     int // load reports that were unusable
-	Probes, ProbesFailed               int // probes sent, and probes that brought no report
-	Judged                             policy.Counts
-	MaxQueueLength                     int // events in one batch
-	MaxQueueDelay, MaxBatchDuration    time.Duration
-	MaxEventDuration                   time.Duration
-	MaxEventKind                       eventKind
-	ListEntries                        int           // entries of the current list, including the origin
-	MaxListDuration                    time.Duration // time to apply one list
+	Taken              int                  // ops the engine has received
+	Acked              int                  // ops with an acked push
+	Nacked             int                  // ops answered with a safe-to-retry refusal
+	DeadLettered       int                  // ops answered without any statement about their effect
+	ClientsLeft        int                  // clients that left before their answer
+	AnsweredAtShutdown int                  // ops answered by AnswerAllOpen
+	Withdrawn          int                  // pushes aborted before a byte of them was written
+	OverdueOps         int                  // ops the module did not answer by their TTL; 0 while it keeps its contract
+	LateAnswers        int                  // answers by the module to ops that had ended; 0 while it keeps its contract
+	Sent               int                  // pushes handed to a server
+	Pushes             [policy.Miss + 1]int // by outcome
+	Lists              int                  // lists applied
+	Reports            int                  // load reports with a latency
+	InvalidReports     int                  // load reports that were unusable
+	Probes             int                  // probes sent
+	ProbesFailed       int                  // probes that brought no report
+	Judged             policy.Counts        // the module's own counters
+	MaxQueueLength     int                  // events in one batch
+	MaxQueueDelay      time.Duration        // longest wait of an event in the queue
+	MaxBatchDuration   time.Duration        // longest time to handle one batch
+	MaxEventDuration   time.Duration        // longest time to handle one event
+	MaxEventKind       eventKind            // kind of the event with MaxEventDuration
+	ListEntries        int                  // entries of the current list, including the origin
+	MaxListDuration    time.Duration        // time to apply one list
 }
 
 var outcomeNames = [policy.Miss + 1]string{"acked", "errored", "full", "timed_out", "connect_failed", "broken",
--- a/internal/engine/deadline_test.go
+++ b/internal/engine/deadline_test.go
@@ -35,7 +35,7 @@
 		}
 		r := <-servers.requests
 		if left := r.Deadline.Remaining(o.ReceivedAt); r.ID != id || left != c.want {
-			t.Errorf("%s has %v, %v wanted", r.ID, left, c.want)
+			t.Errorf("op %s: deadline is %v after receipt, want %v", r.ID, left, c.want)
 		}
 	}
 }
@@ -53,6 +53,6 @@
 		}
 	}
 	if beats == 0 {
-		t.Error("it rested, and that was taken for a stall throughout")
+		t.Error("the idle engine was taken for stalled throughout")
 	}
 }
--- a/internal/engine/endings_test.go
+++ b/internal/engine/endings_test.go
@@ -48,7 +48,7 @@
 					e.Submit(o)
 					s.await(0, "push cache")
 					end(e, o)
-					s.await(0, "taken back cache")
+					s.await(0, "withdrawn cache")
 					if c := drainQueue(e); c.Withdrawn != 1 || c.Pushes[policy.NotSent] != 1 || e.opCount.Load() != 0 || s.countLines("push") != 1 {
 						t.Errorf("%+v", c)
 					}
@@ -70,7 +70,7 @@
 				e.Submit(o)
 				s.await(0, "push cache")
 				end(e, o)
-				s.await(0, "thrown away cache")
+				s.await(0, "discarded cache")
 				if c := drainQueue(e); c.Withdrawn != 0 || c.Pushes[policy.Cancelled] != 1 || e.opCount.Load() != 0 || s.countLines("push") != 1 {
 					t.Errorf("%+v", c)
 				}
@@ -86,7 +86,7 @@
 	e.Submit(o)
 	at := s.await(0, "push cache")
 	e.Abandon(o)
-	if c := drainQueue(e); c.Withdrawn != 0 || s.countLines("given up") != 0 || e.opCount.Load() != 1 {
+	if c := drainQueue(e); c.Withdrawn != 0 || s.countLines("aborted") != 0 || e.opCount.Load() != 1 {
 		t.Errorf("%+v", c)
 	}
 	s.answer(at, Result{Outcome: policy.Acked, Value: []byte("v")})
@@ -117,7 +117,7 @@
 			close(stop)
 			<-ended
 			if c.ClientsLeft != many || c.Sent != 0 || over != many || e.opCount.Load() != 0 || e.byteCount.Load() != 0 || s.countLines("push") != 0 {
-				t.Errorf("%d over, %d held: %+v", over, e.opCount.Load(), c)
+				t.Errorf("%d released, %d open: %+v", over, e.opCount.Load(), c)
 			}
 		})
 	}
@@ -182,7 +182,7 @@
 				s.pushesUnwritten = true
 				s.mu.Unlock()
 				e.UpdateList(list.kind, list.members(first, other))
-				back := s.await(pushed, "taken back "+strings.TrimPrefix(s.line(pushed), "push "))
+				back := s.await(pushed, "withdrawn "+strings.TrimPrefix(s.line(pushed), "push "))
 				again := s.await(back, "push ")
 				for probing && !strings.Contains(s.line(again), " a ") { // another probe
 					s.answer(again, Result{Outcome: policy.Acked, OpsPerSecond: 30})
@@ -204,23 +204,23 @@
 	const span = 20 * time.Millisecond
 	e, _ := startEngine(t, nil)
 	begun, hold := make(chan bool), make(chan bool)
-	said := make(chan error, 1)
+	result := make(chan error, 1)
 	go func() {
-		said <- e.runCall(span, func() error { close(begun); <-hold; return nil })
+		result <- e.runCall(span, func() error { close(begun); <-hold; return nil })
 	}()
 	<-begun
 	ran := make(chan bool, 1)
 	if err := e.runCall(10*span, func() error { ran <- true; return nil }); err != ErrBusy { // the engine is blocked in the first call
-		t.Errorf("%v, though nothing was done", err)
+		t.Errorf("call that did not run returned %v", err)
 	}
-	early := len(said) > 0 // by now ten times the first call's span has passed
+	early := len(result) > 0 // by now ten times the first call's span has passed
 	close(hold)
-	if err := <-said; err != nil || early {
-		t.Errorf("told %v, early %v, and it is done", err, early)
+	if err := <-result; err != nil || early {
+		t.Errorf("call returned %v, early: %v, though it took effect", err, early)
 	}
 	drainQueue(e)
 	if len(ran) > 0 {
-		t.Error("done after a no")
+		t.Error("call ran after it had returned ErrBusy")
 	}
 }
 
@@ -233,7 +233,7 @@
 	drainQueue(e)
 	s.answer(at, Result{Outcome: policy.Acked, Value: []byte("v")})
 	s.await(at, "acked a v")
-	if s.countLines("push") != 1 || s.countLines("taken back") != 0 {
+	if s.countLines("push") != 1 || s.countLines("withdrawn") != 0 {
 		t.Error(s.log)
 	}
 }
@@ -263,7 +263,7 @@
 			s.mu.Unlock()
 			s.answer(at, c.first)
 			again := s.await(at+1, "push cache")
-			s.await(again, "taken back cache", "given up cache") // its window or its time is over
+			s.await(again, "withdrawn cache", "aborted cache") // its window or its time is over
 			s.await(again, "dead-lettered a", "nacked a")
 			if got := drainQueue(e); (got.Withdrawn > 0) != c.taken {
 				t.Errorf("%+v", got)
@@ -291,10 +291,10 @@
 			s.answer(at, Result{Outcome: policy.Errored})
 			again := s.await(at+1, "push cache")
 			if unsent {
-				s.await(again, "thrown away")
+				s.await(again, "discarded")
 			}
 			s.await(again, "dead-lettered a", "nacked a")
-			if c := drainQueue(e); s.countLines("push cache") != 2 || s.countLines("thrown away") > 0 != unsent || c.Withdrawn > 0 || c.Pushes[policy.TimedOut] != 1 {
+			if c := drainQueue(e); s.countLines("push cache") != 2 || s.countLines("discarded") > 0 != unsent || c.Withdrawn > 0 || c.Pushes[policy.TimedOut] != 1 {
 				t.Errorf("%+v", c)
 			}
 		})
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -42,7 +42,7 @@
 	Sites map[int]SiteOverride // operators' overrides by zone
 }
 
-// Engine hosts the decision module. The fields below module belong to the engine's goroutine.
+// Engine hosts the decision module. The fields from module on belong to the engine's goroutine.
 type Engine struct {
 	Options
 	Counters     Counters
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -84,17 +84,17 @@
 	f.s.pushResults["push "+name] = done
 	f.s.mu.Unlock()
 	f.s.record("push %s", name)
-	return func(when AbortCondition) bool {
-		if when == Always {
-			f.s.record("given up %s", name)
+	return func(condition AbortCondition) bool {
+		if condition == Always {
+			f.s.record("aborted %s", name)
 			return true
 		}
 		f.s.mu.Lock()
 		defer f.s.mu.Unlock()
 		if f.s.pushesUnwritten {
-			f.s.log = append(f.s.log, "taken back "+name)
-		} else if when == IfUnsent && f.s.pushesUnsent {
-			f.s.log = append(f.s.log, "thrown away "+name)
+			f.s.log = append(f.s.log, "withdrawn "+name)
+		} else if condition == IfUnsent && f.s.pushesUnsent {
+			f.s.log = append(f.s.log, "discarded "+name)
 		} else {
 			return false
 		}
@@ -111,7 +111,7 @@
 }
 
 func (r fakeReply) Acked(value []byte)            { r.s.record("acked %s %s", r.id, value) }
-func (r fakeReply) Streamed(body Body)            { r.s.record("passed %s %d", r.id, body.Size) }
+func (r fakeReply) Streamed(body Body)            { r.s.record("streamed %s %d", r.id, body.Size) }
 func (r fakeReply) Nacked(comeBack time.Duration) { r.s.record("nacked %s", r.id) }
 func (r fakeReply) DeadLettered()                 { r.s.record("dead-lettered %s", r.id) }
 
@@ -177,7 +177,7 @@
 	s.await(at, "acked a v")
 	s.answer(at, Result{Outcome: policy.Acked, Value: []byte("again")})
 	if c := drainQueue(e); c.Acked != 1 || c.Pushes[policy.Acked] != 1 || e.opCount.Load() != 0 {
-		t.Errorf("a second result counted: %+v", c)
+		t.Errorf("a second result was counted: %+v", c)
 	}
 }
 
@@ -196,13 +196,13 @@
 	e, s := startEngine(t, nil)
 	e.Submit(s.op("a", 1)) // its target is 100 ms, and no server answers
 	at := s.await(0, "push cache")
-	up := s.await(at, "given up cache")
+	up := s.await(at, "aborted cache")
 	if end := s.await(at, "nacked a"); end < up {
-		t.Error("answered while the push was still out")
+		t.Error("op answered while its push was still open")
 	}
 	s.answer(at, Result{Outcome: policy.Acked, Value: []byte("late")})
 	if c := drainQueue(e); c.Acked != 0 || c.Pushes[policy.TimedOut] != 1 || e.opCount.Load() != 0 {
-		t.Errorf("a late answer counted: %+v", c)
+		t.Errorf("a late answer was counted: %+v", c)
 	}
 }
 
@@ -212,7 +212,7 @@
 	e.Submit(o)
 	at := s.await(0, "push cache")
 	e.Abandon(o)
-	s.await(at, "given up cache")
+	s.await(at, "aborted cache")
 	e.Abandon(o)
 	if c := drainQueue(e); c.ClientsLeft != 1 || c.Pushes[policy.Cancelled] != 1 || c.Acked+c.Nacked+c.DeadLettered != 0 || e.opCount.Load() != 0 {
 		t.Errorf("%+v", c)
@@ -280,14 +280,14 @@
 	big.Request.Value = make([]byte, 200)
 	if e.Submit(big) != ErrFull || e.Submit(s.op("a", 0)) != nil || e.Submit(s.op("b", 0)) != nil ||
 		e.Submit(s.op("c", 0)) != ErrFull {
-		t.Error("the bounds on ops and bytes held don't hold")
+		t.Error("the limits on open ops and bytes are not enforced")
 	}
 	at := s.await(0, "push cache")
 	s.answer(at, Result{Outcome: policy.Acked})
 	s.await(at, "acked")
 	drainQueue(e)
 	if e.Submit(s.op("d", 0)) != nil {
-		t.Error("an op that ended still counts")
+		t.Error("an op that ended still counts as open")
 	}
 }
 
@@ -295,28 +295,28 @@
 func TestIDIsTakenOnce(t *testing.T) {
 	e, s := startEngine(t, nil)
 	if e.Submit(s.op("a", 0)) != nil || e.Submit(s.op("a", 0)) != ErrDuplicateID {
-		t.Error("an open op's id was taken again")
+		t.Error("the id of an open op was accepted again")
 	}
 	at := s.await(0, "push cache")
 	s.answer(at, Result{Outcome: policy.Acked, Value: []byte("v")})
 	s.await(at, "acked a v")
 	drainQueue(e) // the answer is sent before the op is released
 	if e.Submit(s.op("a", 0)) != ErrDuplicateID || e.opCount.Load() != 0 {
-		t.Errorf("taken again after its end, or held: %d", e.opCount.Load())
+		t.Errorf("id accepted again after its op's end, or %d ops still open", e.opCount.Load())
 	}
 	now := time.Now()
 	ids := newRecentIDs(time.Second)
 	for i := range 10 * maxIDsPerGeneration {
 		if !ids.add(fmt.Sprint(i), now) {
-			t.Fatalf("%d is new", i)
+			t.Fatalf("id %d was rejected as a repeat", i)
 		}
 	}
 	if n := len(ids.current) + len(ids.previous); n > 2*maxIDsPerGeneration {
-		t.Errorf("%d ids kept", n)
+		t.Errorf("%d ids kept, more than two generations", n)
 	}
 	ids.add("x", now.Add(time.Second))
 	if ids.add("x", now.Add(1900*time.Millisecond)) || ids.add("x", now.Add(2*time.Second)) || !ids.add("x", now.Add(4*time.Second)) {
-		t.Error("an id is kept for too short or for good")
+		t.Error("an id is kept for less than its retention, or for ever")
 	}
 }
 
@@ -358,7 +358,7 @@
 		e.records[h.id] = h
 		e.Push(h.id, 77, 0)
 		if len(h.openPushes) != 1 || e.Counters.Pushes[policy.NotSent] != 0 {
-			t.Error("a host call told its outcome by re-entering the module")
+			t.Error("a host call reported its outcome by re-entering the module")
 		}
 		e.runDeferred()
 		got <- e.Counters
@@ -391,7 +391,7 @@
 	e.Submit(s.op("a", 0)) // targets of 100 ms and more: a probe is awaited for a sixteenth of that
 	at := s.await(0, "push cache")
 	if c := drainQueue(e); c.Probes != 1 || c.Sent != 0 {
-		t.Fatalf("the op did not wait for the probe: %+v", c)
+		t.Fatalf("the op was pushed before its probe was answered: %+v", c)
 	}
 	s.answer(at, Result{Outcome: policy.Acked, QueueLength: 0, OpsPerSecond: 30})
 	op := s.await(at+1, "push cache")
@@ -403,7 +403,7 @@
 	e.Submit(s.op("b", 0))
 	at = s.await(op+1, "push cache") // the probe, which is never answered
 	at = s.await(at+1, "push cache") // the op, or another cache's probe before it
-	s.await(at, "given up cache")
+	s.await(at, "aborted cache")
 	if c := drainQueue(e); c.ProbesFailed == 0 || c.Probes < 2 {
 		t.Errorf("%+v", c)
 	}
@@ -413,10 +413,10 @@
 func TestOutTakesBackWhatIsNotWritten(t *testing.T) {
 	e, s := startEngine(t, nil)
 	if err := e.SetCacheOut("nobody", true, eventTimeout); err != ErrUnknown {
-		t.Errorf("an id that nobody has: %v", err)
+		t.Errorf("unknown cache: %v", err)
 	}
 	if err := e.SetCacheOut("origin", true, eventTimeout); err != ErrUnknown {
-		t.Errorf("the origin is taken for a cache: %v", err)
+		t.Errorf("origin accepted as a cache: %v", err)
 	}
 	e.Submit(s.op("a", 0))
 	at := s.await(0, "push cache")
@@ -428,7 +428,7 @@
 		t.Fatal(err)
 	}
 	// Everything recorded by now came before the call returned.
-	back := s.await(at, "taken back "+first+" a")
+	back := s.await(at, "withdrawn "+first+" a")
 	again := s.await(back, "push cache")
 	if s.cache(again) == first {
 		t.Errorf("pushed again to %s", first)
@@ -442,7 +442,7 @@
 		s.answer(at, Result{Outcome: policy.Acked, Value: []byte("v")})
 	}
 	if e.SetCacheOut(first, true, eventTimeout) != nil || e.SetCacheOut(first, false, eventTimeout) != nil {
-		t.Error("out twice and back once")
+		t.Error("taking a cache out twice and returning it failed")
 	}
 }
 
@@ -467,24 +467,24 @@
 	}
 	at := ask(0, "a", "cache1")
 	if err := e.SetSite(0, SiteOverride{Out: true, At: time.Now()}, eventTimeout); err != ErrLastCaches {
-		t.Errorf("the last site: %v", err)
+		t.Errorf("taking out the last site: %v", err)
 	}
 	if err := e.SetSite(0, SiteOverride{At: time.Now()}, eventTimeout); err != ErrUnknown {
-		t.Errorf("a site that nobody took out: %v", err)
+		t.Errorf("returning a site that is not out: %v", err)
 	}
 	if err := e.SetSite(7, SiteOverride{Out: true, At: time.Now()}, eventTimeout); err != ErrUnknown {
-		t.Errorf("a site that is not there: %v", err)
+		t.Errorf("unknown site: %v", err)
 	}
 	list(in(1, 0), in(2, 1), in(3, 1))
 	for i := range 10 {
 		at = ask(at, fmt.Sprint("b", i), "cache1")
 	}
 	if e.SetSite(1, SiteOverride{At: time.Now()}, eventTimeout) != nil || e.SetSite(0, SiteOverride{Out: true, At: time.Now()}, eventTimeout) != nil {
-		t.Error("not called back, or the other not out then")
+		t.Error("could not return one site and then take out the other")
 	}
 	e.Submit(s.op("c", 0))
 	if at = s.await(at, "push cache"); s.cache(at) == "cache1" {
-		t.Error("pushed to a site that is out")
+		t.Error("pushed to a site that is out of service")
 	}
 }
 
@@ -522,18 +522,18 @@
 		return sent
 	}
 	if a, b := sum(e), sum(next); a+b < 20 || a+b > 24 || b < 10 {
-		t.Errorf("%v and %v of 20", a, b)
+		t.Errorf("%v and %v pushes counted after handover of 20", a, b)
 	}
 	other := warm.LearnedState{Confidence: 1, Caches: map[uint32]warm.ServerState{1: {Name: "another", Record: evidence.Record{Sent: evidence.Window{5}, Limit: 3}},
 		2: {Name: "cache2", Start: 7, Record: evidence.Record{Sent: evidence.Window{5}, Limit: 3}}}}
 	next, _ = startEngine(t, func(o *Options) { o.Memory = &other })
 	if b := sum(next); b != 0 {
-		t.Errorf("%v taken over of other caches", b)
+		t.Errorf("%v pushes restored for caches with another name or start", b)
 	}
 }
 
 // Guards against a cache that was returned to service before an upgrade being treated as warm after it.
-func TestWhoCameBackIsColdAfterTheUpgradeToo(t *testing.T) {
+func TestReturnedCacheIsColdAfterUpgrade(t *testing.T) {
 	now := time.Now()
 	e, _ := startEngine(t, func(o *Options) {
 		o.CachesOut, o.ReturnedAt = []string{"cache1"}, map[string]time.Time{"cache2": now}
@@ -552,7 +552,7 @@
 		t.Errorf("%+v", all)
 	}
 	if want := policy.Time(now.UnixNano() / 1e5); all["cache2"].Start < want-20 || all["cache2"].Start > want+20 {
-		t.Errorf("started at %d, called back at %d", all["cache2"].Start, want)
+		t.Errorf("started at %d, returned to service at %d", all["cache2"].Start, want)
 	}
 }
 
@@ -577,7 +577,7 @@
 	s.answer(at, Result{Outcome: policy.Errored})
 	s.await(at, "dead-lettered b")
 	if e.ids.retention < 90*time.Second {
-		t.Errorf("ids are kept for %v, ops may be open for 90 s", e.ids.retention)
+		t.Errorf("ids are kept for %v, but ops may be open for 90 s", e.ids.retention)
 	}
 }
 
@@ -587,7 +587,7 @@
 	e.Submit(s.op("a", 0))
 	at := s.await(0, "push cache")
 	s.answer(at, Result{Outcome: policy.Acked, Body: Body{Size: 70000, ReadCloser: closer{s, "first"}}})
-	s.await(at, "passed a 70000")
+	s.await(at, "streamed a 70000")
 	s.answer(at, Result{Outcome: policy.Acked, Body: Body{Size: 70000, ReadCloser: closer{s, "late"}}})
 	s.await(at, "closed late")
 	if c := drainQueue(e); c.Acked != 1 || e.opCount.Load() != 0 {
@@ -621,7 +621,7 @@
 	late := s.await(0, "push cache1 op2 ", "push cache2 op2 ")
 	s.answer(late, Result{Outcome: policy.Miss})
 	if err := e.Submit(s.op("op9", 0)); err != ErrFull {
-		t.Errorf("taken after the end: %v", err)
+		t.Errorf("op accepted after shutdown: %v", err)
 	}
 	if c := drainQueue(e); c.AnsweredAtShutdown != 4 || c.LateAnswers != 0 || e.AnswerAllOpen(eventTimeout) != nil {
 		t.Errorf("%+v", c)
--- a/internal/engine/operator.go
+++ b/internal/engine/operator.go
@@ -222,9 +222,9 @@
 
 // SiteOverride takes all caches of a zone out of service, or returns them, spread over a duration.
 type SiteOverride struct {
-	Out  bool
-	At   time.Time
-	Over time.Duration
+	Out  bool          // out of service; false: returned to service
+	At   time.Time     // when the operator set the override
+	Over time.Duration // time over which the caches follow, at least 0
 }
 
 // siteSchedulesOf converts overrides to the engine's clock.
--- a/internal/engine/settings_test.go
+++ b/internal/engine/settings_test.go
@@ -36,7 +36,7 @@
 	names := paths(good, "")
 	for _, name := range settings.Fields() {
 		if !slices.Contains(names, name) {
-			t.Errorf("%s is read, and stands not in the text above", name)
+			t.Errorf("field %s is read by settings.Decode but missing in fullSettings", name)
 		}
 	}
 	taken := 0
@@ -57,7 +57,7 @@
 		}
 	}
 	if taken < 100 {
-		t.Errorf("only %d were taken", taken)
+		t.Errorf("only %d variants were accepted", taken)
 	}
 }
 
@@ -127,7 +127,7 @@
 		list = append(list, m)
 	}
 	e.Start(noCatalog{}, list)
-	turn := func(span time.Duration) {
+	advance := func(span time.Duration) {
 		e.clockStart = e.clockStart.Add(-span) // advances the engine's clock
 		for _, ev := range e.queue.take(nil) {
 			e.handleEvent(ev.kind, ev.run)
@@ -151,10 +151,10 @@
 		if e.Submit(o) == nil {
 			taken++
 		}
-		turn(2 * time.Millisecond)
+		advance(2 * time.Millisecond)
 	}
 	for range 400 {
-		turn(5 * time.Millisecond)
+		advance(5 * time.Millisecond)
 	}
 	for id, n := range s.answers {
 		if n != 1 {
@@ -176,10 +176,10 @@
 
 func (s *variedServer) Push(r *Request, until time.Time, done func(Result)) func(AbortCondition) bool {
 	s.n++
-	switch how := []policy.Outcome{policy.Acked, policy.Acked, policy.Miss, policy.Rejected, policy.Errored, policy.ConnectionLost, policy.ConnectFailed}[s.n%7]; {
+	switch outcome := []policy.Outcome{policy.Acked, policy.Acked, policy.Miss, policy.Rejected, policy.Errored, policy.ConnectionLost, policy.ConnectFailed}[s.n%7]; {
 	case s.n%11 == 0: // no answer
 	default:
-		s.due = append(s.due, func() { done(Result{Outcome: how, Value: []byte("v"), QueueLength: 1, OpsPerSecond: 10}) })
+		s.due = append(s.due, func() { done(Result{Outcome: outcome, Value: []byte("v"), QueueLength: 1, OpsPerSecond: 10}) })
 	}
 	return func(when AbortCondition) bool { return when == Always }
 }
--- a/internal/engine/types.go
+++ b/internal/engine/types.go
@@ -16,7 +16,8 @@
 
 // Request is what is sent to a server, independent of the wire format.
 type Request struct {
-	Key, ID    string
+	Key        string
+	ID         string // unique per op
 	Write      bool
 	Properties deadline.Properties
 	Deadline   deadline.Deadline // the client's deadline; after Submit only the engine may lower it, and only before the first push
@@ -52,7 +53,7 @@
 
 // Op is one client op as submitted by the front.
 type Op struct {
-	ReceivedAt       time.Time // when the last byte may have arrived at the earliest
+	ReceivedAt       time.Time // earliest time at which the last byte may have arrived
 	Key              uint64    // hash of the key; 0: no key
 	Category, Tenant int
 	IsRetry          bool // the client marked the op as a retry
@@ -94,7 +95,8 @@
 	ReportedLatency policy.Time // latency per op in the cache's load report; 0: no report
 	ReportInvalid   bool        // a load report was present but unusable
 	// Contents of the load report that answers a probe: queued ops, and ops completed per second.
-	QueueLength, OpsPerSecond float64
+	QueueLength  float64
+	OpsPerSecond float64
 }
 
 // AbortCondition limits a call to abort a push to pushes that have not got beyond a given point.
@@ -119,7 +121,7 @@
 // Member is one entry of the discovery list, with the address by which this proxy reaches it.
 type Member struct {
 	policy.Entry
-	Addr string
+	Addr string // address to dial
 	Name string // the same at every proxy
 }
 
--- a/internal/pulse/monitor_test.go
+++ b/internal/pulse/monitor_test.go
@@ -28,7 +28,7 @@
 				p.Beat(start.Add(at))
 			}
 			if got := p.EarliestArrival(start.Add(c.now)).Sub(start); got != c.want {
-				t.Errorf("since %v, %v wanted", got, c.want)
+				t.Errorf("earliest arrival is %v, want %v", got, c.want)
 			}
 		})
 	}
@@ -39,6 +39,6 @@
 	now := time.Now()
 	p.Beat(now)
 	if p.EarliestArrival(now) != now {
-		t.Error("a stall")
+		t.Error("a nil monitor reported a stall")
 	}
 }
--- a/internal/state/snapshot.go
+++ b/internal/state/snapshot.go
@@ -14,8 +14,9 @@
 
 // SnapshotFile is the file that keeps learned state across a restart. It must be used by one goroutine at a time.
 type SnapshotFile struct {
-	MaxAge, HalfLife time.Duration // a snapshot older than MaxAge is rejected; its figures are halved once per HalfLife
-	KeyWindow        time.Duration // time for which kept keys are remembered
+	MaxAge    time.Duration // an older snapshot is rejected
+	HalfLife  time.Duration // age at which a snapshot's figures count for half
+	KeyWindow time.Duration // time for which kept keys are remembered
 
 	path, proxy, settings string
 	lock                  *os.File
--- a/internal/state/snapshot_test.go
+++ b/internal/state/snapshot_test.go
@@ -22,7 +22,7 @@
 		t.Error(err)
 	}
 	if _, err := s.Write(testMemory, now, time.Second); err != nil || s.Due(now.Add(time.Second/2)) || !s.Due(now.Add(time.Second)) {
-		t.Errorf("%v, or written too often", err)
+		t.Errorf("error %v, or wrong time of the next write", err)
 	}
 	m, age, err := newSnapshotFile(dir, "one").Load(now.Add(5 * time.Second))
 	if err != nil || age != 5*time.Second || len(m.RecentKeys) > 0 || m.Caches[7].Record.Sent.Sum() != 4 || m.Caches[7].Record.Done.Sum() != 0 {
@@ -57,20 +57,20 @@
 	for cut := range text {
 		os.WriteFile(s.path, text[:cut], 0o600)
 		if m, _, err := s.Load(now); err == nil || m != nil {
-			t.Fatalf("cut at %d of %d: taken", cut, len(text))
+			t.Fatalf("file cut at byte %d of %d was accepted", cut, len(text))
 		}
 		broken := []byte(string(text))
 		broken[cut] ^= 4
 		os.WriteFile(s.path, broken, 0o600)
 		if _, _, err := s.Load(now); err == nil {
-			t.Fatalf("byte %d of %d changed: taken", cut, len(text))
+			t.Fatalf("file with byte %d of %d changed was accepted", cut, len(text))
 		}
 	}
 	half := filepath.Join(dir, "."+filepath.Base(s.path)+"123")
 	os.WriteFile(half, text[:100], 0o600)
 	os.Chtimes(half, now.Add(-time.Hour), now.Add(-time.Hour))
 	if newSnapshotFile(dir, "one"); len(fileNames(t, dir)) != 1 {
-		t.Errorf("what was left half written stays: %v", fileNames(t, dir))
+		t.Errorf("leftover temporary file was not removed: %v", fileNames(t, dir))
 	}
 }
 
@@ -86,23 +86,23 @@
 }
 
 // Guards against a failing disk (full, read-only or missing) stopping the proxy or flooding its log with errors.
-func TestADiskThatTakesNothing(t *testing.T) {
+func TestFailingDiskIsRetriedWithBackoff(t *testing.T) {
 	s, now := newSnapshotFile(filepath.Join(t.TempDir(), "gone"), "one"), time.Now()
-	tried, told := 0, 0
+	tried, reported := 0, 0
 	for range 1000 {
 		if now = now.Add(time.Second); s.Due(now) {
 			tried++
 			first, err := s.Write(testMemory, now, time.Second)
 			if err == nil {
-				t.Fatal("written nowhere")
+				t.Fatal("write to a missing directory succeeded")
 			}
 			if first {
-				told++
+				reported++
 			}
 		}
 	}
-	if told != 1 || tried < 8 || tried > 30 {
-		t.Errorf("tried %d times, told %d times", tried, told)
+	if reported != 1 || tried < 8 || tried > 30 {
+		t.Errorf("tried %d times, want 8 to 30; reported as first failure %d times, want once", tried, reported)
 	}
 }
 
@@ -110,9 +110,9 @@
 	dir, now := t.TempDir(), time.Now()
 	old, next := newSnapshotFile(dir, "one"), newSnapshotFile(dir, "one")
 	if !old.Due(now) || next.Due(now) {
-		t.Error("both write, or neither")
+		t.Error("want exactly the first process to write")
 	}
 	if old.Close(); !next.Due(now) || old.Due(now) {
-		t.Error("the one that stays does not write")
+		t.Error("the remaining process does not write")
 	}
 }
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -42,8 +42,8 @@
 
 // SiteOverride takes all caches of a site out of service, or puts them back, spread over a duration.
 type SiteOverride struct {
-	Out  bool          `json:"out"`
-	At   time.Time     `json:"at"`
+	Out  bool          `json:"out"`  // out of service; false: returned to service
+	At   time.Time     `json:"at"`   // when the operator set the override
 	Over time.Duration `json:"over"` // spread over this duration, in nanoseconds
 }
 
@@ -184,7 +184,7 @@
 
 // Handover is the learned state that a process passes to its successor, once.
 type Handover struct {
-	At       time.Time         `json:"at"`
+	At       time.Time         `json:"at"`       // when it was written
 	Settings string            `json:"settings"` // digest of the settings under which the state was learned
 	Memory   warm.LearnedState `json:"memory"`
 }
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -22,13 +22,13 @@
 		t.Fatal(err)
 	}
 	if !a.Changed() {
-		t.Error("a change is not seen")
+		t.Error("Changed did not report the update")
 	}
 	if w, err := a.Read(); err != nil || fmt.Sprint(w) != "{[s-1 s-2] true map[] map[]}" || a.Changed() {
 		t.Errorf("%+v %v", w, err)
 	}
 	if w, _ := Open(dir, "n1", "127.0.0.1:2").Read(); len(w.CachesOut) > 0 {
-		t.Error("another proxy's word")
+		t.Error("overrides of another proxy were read")
 	}
 	var all sync.WaitGroup
 	for i := range 20 { // concurrent updates by both processes: none may be lost
@@ -48,7 +48,7 @@
 
 // Guards against using a file that is cut short, corrupted or of another proxy: it would take the wrong caches out of service, or return
 // one that is out.
-func TestWhatCannotBeUsedIsPassedOver(t *testing.T) {
+func TestUnusableOverridesAreRejected(t *testing.T) {
 	dir := t.TempDir()
 	s := Open(dir, "n1", "a")
 	if err := s.Update(func(w *Overrides) { w.CachesOut = []string{"s-1"} }); err != nil {
@@ -85,17 +85,17 @@
 	dir := t.TempDir()
 	old, next, third := Open(dir, "n1", "a"), Open(dir, "n1", "a"), Open(dir, "n1", "a")
 	if !old.AcquireRole(RoleActive) || old.RoleHeldByOther(RoleActive) || old.RoleHeldByOther(RoleStandby) {
-		t.Error("alone, and not so")
+		t.Error("a single process does not hold RoleActive alone")
 	}
 	if next.AcquireRole(RoleActive) || !next.AcquireRole(RoleStandby) || !old.RoleHeldByOther(RoleStandby) || !next.RoleHeldByOther(RoleActive) || third.AcquireRole(RoleStandby) {
-		t.Error("two processes, and one has not seen it")
+		t.Error("two processes do not see each other's roles")
 	}
 	old.ReleaseRole(RoleActive)
 	if !next.AcquireRole(RoleActive) {
-		t.Error("the old one has gone, and its role is not free")
+		t.Error("the role released by the old process is not free")
 	}
 	if next.ReleaseRole(RoleStandby); !third.AcquireRole(RoleStandby) || !next.RoleHeldByOther(RoleStandby) {
-		t.Error("a second upgrade in a row")
+		t.Error("second upgrade in a row: RoleStandby is not free, or not seen as held")
 	}
 }
 
@@ -108,33 +108,33 @@
 	dir := t.TempDir()
 	old, next := Open(dir, "n1", "a"), Open(dir, "n1", "a")
 	if _, err := next.AwaitHandover(10 * time.Millisecond); err == nil {
-		t.Error("given by nobody")
+		t.Error("handover read though none was written")
 	}
-	give := func(at time.Time) {
+	writeHandover := func(at time.Time) {
 		if err := old.WriteHandover(Handover{At: at, Memory: testMemory}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	time.AfterFunc(20*time.Millisecond, func() { give(time.Now()) })
+	time.AfterFunc(20*time.Millisecond, func() { writeHandover(time.Now()) })
 	h, err := next.AwaitHandover(10 * time.Second)
 	if r := h.Memory.Caches[7].Record; err != nil || r.Sent.Sum() != 4 || r.Limit != 2.5 {
 		t.Errorf("%+v %v", h, err)
 	}
 	if _, err := next.AwaitHandover(10 * time.Millisecond); err == nil {
-		t.Error("given twice")
+		t.Error("handover read twice")
 	}
 	for _, at := range []time.Time{time.Now().Add(-time.Hour), time.Now().Add(time.Hour)} {
-		give(at)
+		writeHandover(at)
 		if h, err := next.AwaitHandover(10 * time.Millisecond); err == nil || len(h.Memory.Caches) > 0 {
-			t.Errorf("of %v, and taken", at)
+			t.Errorf("handover dated %v was accepted", at)
 		}
 	}
-	give(time.Now())
+	writeHandover(time.Now())
 	if next.RemoveHandover(); next.path != old.path {
-		t.Error("two paths")
+		t.Error("the two stores have different paths")
 	}
 	if _, err := next.AwaitHandover(10 * time.Millisecond); err == nil {
-		t.Error("what was given to another is taken")
+		t.Error("removed handover was read")
 	}
 }
 
