--- a/internal/engine/endings_test.go
+++ b/internal/engine/endings_test.go
@@ -105,10 +105,10 @@
 		t.Run(name, func(t *testing.T) {
 			const many = 300
 			e, s := newTestEngine(t, func(o *Options) { o.MaxOps = 2 * many })
-			over := 0
+			released := 0
 			for i := range many {
 				o := s.op(fmt.Sprint("op", i), i%3)
-				o.OnRelease = func() { over++ }
+				o.OnRelease = func() { released++ }
 				play(e, o)
 			}
 			stop, ended := make(chan struct{}), make(chan struct{})
@@ -116,8 +116,8 @@
 			c := drainQueue(e)
 			close(stop)
 			<-ended
-			if c.ClientsLeft != many || c.Sent != 0 || over != many || e.opCount.Load() != 0 || e.byteCount.Load() != 0 || s.countLines("push") != 0 {
-				t.Errorf("%d released, %d open: %+v", over, e.opCount.Load(), c)
+			if c.ClientsLeft != many || c.Sent != 0 || released != many || e.opCount.Load() != 0 || e.byteCount.Load() != 0 || s.countLines("push") != 0 {
+				t.Errorf("%d released, %d open: %+v", released, e.opCount.Load(), c)
 			}
 		})
 	}
@@ -242,9 +242,9 @@
 // is written after the window. Ops without a window in force are not affected.
 func TestARepeatIsNotWrittenBehindItsWindow(t *testing.T) {
 	for name, c := range map[string]struct {
-		effect policy.Effect
-		first  Result
-		taken  bool
+		effect    policy.Effect
+		first     Result
+		withdrawn bool
 	}{
 		"deduplicated, and may have run":  {policy.Deduplicated, Result{Outcome: policy.Errored}, true},
 		"deduplicated, and has never run": {policy.Deduplicated, Result{Outcome: policy.Rejected}, false},
@@ -265,10 +265,10 @@
 			again := s.await(at+1, "push cache")
 			s.await(again, "withdrawn cache", "aborted cache") // its window or its time is over
 			s.await(again, "dead-lettered a", "nacked a")
-			if got := drainQueue(e); (got.Withdrawn > 0) != c.taken {
+			if got := drainQueue(e); (got.Withdrawn > 0) != c.withdrawn {
 				t.Errorf("%+v", got)
 			}
-			if n := s.countLines("push cache"); n != 2 && c.taken {
+			if n := s.countLines("push cache"); n != 2 && c.withdrawn {
 				t.Errorf("%d pushes", n)
 			}
 		})
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -295,11 +295,11 @@
 	o.Request.Abandon()
 	e.queue.put(leaveEvent, func() {
 		e.unanswered.remove(o)
-		if h := o.record; h != nil && !h.ended {
+		if record := o.record; record != nil && !record.ended {
 			e.Counters.ClientsLeft++
-			e.endOp(h)
-			e.module.ClientLeft(h.id)
-			e.releaseOp(h)
+			e.endOp(record)
+			e.module.ClientLeft(record.id)
+			e.releaseOp(record)
 		}
 	})
 }
@@ -324,9 +324,9 @@
 		o.Request.Deadline = o.Request.Deadline.AtMost(o.ReceivedAt.Add(time.Duration(c.TTL) * timeUnit))
 	}
 	ttl := e.clockOffset + policy.Time(o.Request.Deadline.Remaining(e.clockStart)/timeUnit)
-	h := &opRecord{Op: o, ttl: ttl, size: size, maxPushes: e.Settings.MostPushes}
-	if h.effect = c.Effect; h.effect == policy.Deduplicated {
-		h.dedupWindow = c.Window
+	record := &opRecord{Op: o, ttl: ttl, size: size, maxPushes: e.Settings.MostPushes}
+	if record.effect = c.Effect; record.effect == policy.Deduplicated {
+		record.dedupWindow = c.Window
 	}
 	for {
 		e.lastID++
@@ -334,60 +334,60 @@
 			break
 		}
 	}
-	h.id = e.lastID
-	e.records[h.id], o.record = h, h
+	record.id = e.lastID
+	e.records[record.id], o.record = record, record
 	e.Counters.Taken++
-	e.timers.set(h.ttl+overdueGrace, func() { e.expire(h) })
-	e.module.OpArrived(h.id, o.Key, o.Category, o.Tenant, o.Request.Write, o.IsRetry, max(h.ttl-e.now, 0))
+	e.timers.set(record.ttl+overdueGrace, func() { e.expire(record) })
+	e.module.OpArrived(record.id, o.Key, o.Category, o.Tenant, o.Request.Write, o.IsRetry, max(record.ttl-e.now, 0))
 	if e.shuttingDown.Load() { // it was submitted just before
-		e.module.HandBack(h.id)
+		e.module.HandBack(record.id)
 	}
-	e.releaseOp(h)
+	e.releaseOp(record)
 }
 
 // expire ends an op that the module has not answered by its TTL. It is a safeguard: the module answers every op by its TTL at the latest.
-func (e *Engine) expire(h *opRecord) {
-	if h.ended {
+func (e *Engine) expire(record *opRecord) {
+	if record.ended {
 		return
 	}
 	e.Counters.OverdueOps++
-	e.Logger.Error().Str("op", h.Request.ID).Msg("op not answered by its TTL")
-	e.endOp(h)
-	if e.claimAnswer(h) {
-		h.Reply.DeadLettered()
+	e.Logger.Error().Str("op", record.Request.ID).Msg("op not answered by its TTL")
+	e.endOp(record)
+	if e.claimAnswer(record) {
+		record.Reply.DeadLettered()
 	}
-	e.module.ClientLeft(h.id)
-	e.releaseOp(h)
+	e.module.ClientLeft(record.id)
+	e.releaseOp(record)
 }
 
 // claimAnswer acquires the right to answer an op on the engine's goroutine. It returns false if the lag responder has answered it.
-func (e *Engine) claimAnswer(h *opRecord) bool {
-	if _, ok := h.claim(); !ok {
+func (e *Engine) claimAnswer(record *opRecord) bool {
+	if _, ok := record.claim(); !ok {
 		return false
 	}
-	e.noteAnswered(h.Op, false)
+	e.noteAnswered(record.Op, false)
 	return true
 }
 
 // endOp marks an op as ended; every op passes through it exactly once. It aborts pushes that no server has fully received: a push that is
 // still dialing, waiting for a connection, or in the kernel's send buffer for a server that hangs would otherwise arrive after the op's
 // answer or its client's leaving. This applies whether or not servers support cancelling.
-func (e *Engine) endOp(h *opRecord) {
-	h.ended = true
-	for _, p := range h.openPushes {
+func (e *Engine) endOp(record *opRecord) {
+	record.ended = true
+	for _, p := range record.openPushes {
 		if p.abort(IfUnwritten) {
-			e.deferred = append(e.deferred, func() { e.pushWithdrawn(h, p) })
+			e.deferred = append(e.deferred, func() { e.pushWithdrawn(record, p) })
 		} else if p.abort(IfUnsent) {
-			e.deferred = append(e.deferred, func() { e.pushEnded(h, p, Result{Outcome: policy.Cancelled}) })
+			e.deferred = append(e.deferred, func() { e.pushEnded(record, p, Result{Outcome: policy.Cancelled}) })
 		}
 	}
 }
 
 // pushWithdrawn handles a push that was aborted before a byte of it was written.
-func (e *Engine) pushWithdrawn(h *opRecord, p *push) {
-	if slices.Contains(h.openPushes, p) {
+func (e *Engine) pushWithdrawn(record *opRecord, p *push) {
+	if slices.Contains(record.openPushes, p) {
 		e.Counters.Withdrawn++
-		e.pushEnded(h, p, Result{Outcome: policy.NotSent})
+		e.pushEnded(record, p, Result{Outcome: policy.NotSent})
 	}
 }
 
@@ -397,64 +397,64 @@
 		return
 	}
 	for _, id := range slices.Sorted(maps.Keys(e.records)) { // sorted, so that the module sees a deterministic order
-		h := e.records[id]
-		if h == nil {
+		record := e.records[id]
+		if record == nil {
 			continue
 		}
-		for _, p := range slices.Clone(h.openPushes) {
+		for _, p := range slices.Clone(record.openPushes) {
 			if caches[p.cache] && p.abort(IfUnwritten) {
-				e.pushWithdrawn(h, p)
+				e.pushWithdrawn(record, p)
 			}
 		}
 	}
 }
 
 // releaseOp drops an op that has ended and has no open pushes.
-func (e *Engine) releaseOp(h *opRecord) {
-	if h.ended && len(h.openPushes) == 0 && e.records[h.id] == h {
-		delete(e.records, h.id)
-		if h.OnRelease != nil {
-			h.OnRelease()
+func (e *Engine) releaseOp(record *opRecord) {
+	if record.ended && len(record.openPushes) == 0 && e.records[record.id] == record {
+		delete(e.records, record.id)
+		if record.OnRelease != nil {
+			record.OnRelease()
 		}
-		h.Op = nil // timers keep the record for a while and must not retain the value; a server may still be reading the op
+		record.Op = nil // timers keep the record for a while and must not retain the value; a server may still be reading the op
 		e.opCount.Add(-1)
-		e.byteCount.Add(-h.size)
+		e.byteCount.Add(-record.size)
 	}
 }
 
 // pushEnded handles a push's single outcome.
-func (e *Engine) pushEnded(h *opRecord, p *push, r Result) {
+func (e *Engine) pushEnded(record *opRecord, p *push, r Result) {
 	index := -1
-	for i := range h.openPushes {
-		if h.openPushes[i] == p {
+	for i := range record.openPushes {
+		if record.openPushes[i] == p {
 			index = i
 		}
 	}
-	if r.Body.Size > 0 && (index < 0 || h.ended) {
+	if r.Body.Size > 0 && (index < 0 || record.ended) {
 		r.Body.Close() // nobody reads it
 	}
 	if index < 0 {
 		return // the push was aborted earlier and its outcome reported then
 	}
-	h.openPushes = append(h.openPushes[:index], h.openPushes[index+1:]...)
-	if !r.Outcome.NotExecuted() && (h.firstRunAt == 0 || p.sentAt < h.firstRunAt) {
-		h.firstRunAt = p.sentAt
+	record.openPushes = append(record.openPushes[:index], record.openPushes[index+1:]...)
+	if !r.Outcome.NotExecuted() && (record.firstRunAt == 0 || p.sentAt < record.firstRunAt) {
+		record.firstRunAt = p.sentAt
 	}
 	e.Counters.Pushes[r.Outcome]++
-	if r.Outcome == policy.Acked && !h.ended {
+	if r.Outcome == policy.Acked && !record.ended {
 		e.Counters.Acked++
-		e.endOp(h)
-		if claimed := e.claimAnswer(h); !claimed && r.Body.Size > 0 {
+		e.endOp(record)
+		if claimed := e.claimAnswer(record); !claimed && r.Body.Size > 0 {
 			r.Body.Close()
 		} else if !claimed { // the client already has its answer
 		} else if r.Body.Size > 0 {
-			h.Reply.Streamed(r.Body) // the op is not retried if the stream fails: the cache's bytes go straight to the client
+			record.Reply.Streamed(r.Body) // the op is not retried if the stream fails: the cache's bytes go straight to the client
 		} else {
-			h.Reply.Acked(r.Value)
+			record.Reply.Acked(r.Value)
 		}
 	}
 	if r.Err != nil {
-		e.Logger.Debug().Err(r.Err).Str("op", h.Request.ID).Int("push", p.number).Msg("push failed")
+		e.Logger.Debug().Err(r.Err).Str("op", record.Request.ID).Int("push", p.number).Msg("push failed")
 	}
 	if r.ReportInvalid {
 		e.Counters.InvalidReports++
@@ -463,8 +463,8 @@
 		e.Counters.Reports++
 		e.module.Reported(p.cache, r.ReportedLatency)
 	}
-	e.module.PushEnded(h.id, p.number, r.Outcome, r.Missed, h.ended, e.now-p.sentAt)
-	e.releaseOp(h)
+	e.module.PushEnded(record.id, p.number, r.Outcome, r.Missed, record.ended, e.now-p.sentAt)
+	e.releaseOp(record)
 }
 
 // UpdateList applies a list from discovery. It may be called from any goroutine.
--- a/internal/engine/lag.go
+++ b/internal/engine/lag.go
@@ -168,9 +168,9 @@
 
 // endAnswered ends an op that the lag responder has answered.
 func (e *Engine) endAnswered(o *Op) {
-	if h := o.record; h != nil && !h.ended {
-		e.endOp(h)
-		e.module.ClientLeft(h.id)
-		e.releaseOp(h)
+	if record := o.record; record != nil && !record.ended {
+		e.endOp(record)
+		e.module.ClientLeft(record.id)
+		e.releaseOp(record)
 	}
 }
--- a/internal/engine/operator.go
+++ b/internal/engine/operator.go
@@ -18,9 +18,9 @@
 // ErrBusy means that the engine did not run a call in time.
 var ErrBusy = errors.New("the engine did not come to it in time")
 
-// runCall runs f on the engine's goroutine before all queued events and returns when it has run. If f has not begun within span it never
+// runCall runs f on the engine's goroutine before all queued events and returns when it has run. If f has not begun within timeout it never
 // runs.
-func (e *Engine) runCall(span time.Duration, f func() error) error {
+func (e *Engine) runCall(timeout time.Duration, f func() error) error {
 	done := make(chan error, 1)
 	var claimed atomic.Bool // set by the engine when it begins f, or by the caller when it gives up
 	e.queue.putCall(func() {
@@ -31,7 +31,7 @@
 	select {
 	case err := <-done:
 		return err
-	case <-time.After(span):
+	case <-time.After(timeout):
 	}
 	if claimed.CompareAndSwap(false, true) {
 		return ErrBusy
@@ -49,9 +49,9 @@
 
 // ApplySettings replaces the settings before all queued events are handled. Open ops, and ops submitted with the old category numbers, keep
 // their rules: settings.Join leaves each category its number.
-func (e *Engine) ApplySettings(s policy.Settings, maxOps int, span time.Duration) error {
+func (e *Engine) ApplySettings(s policy.Settings, maxOps int, timeout time.Duration) error {
 	e.ids.extendRetention(maxOpDuration(s)) // before the settings change, as an op under the new settings may be open for longer
-	return e.runCall(span, func() error {
+	return e.runCall(timeout, func() error {
 		e.Settings = s
 		e.module.Retune(s)
 		e.maxOps.Store(int64(maxOps))
@@ -60,14 +60,14 @@
 }
 
 // Learned returns a copy of the learned state. Another goroutine writes it to a file, as the engine must not wait for a disk.
-func (e *Engine) Learned(span time.Duration) (m warm.LearnedState, err error) {
-	err = e.runCall(span, func() error { m = e.copyMemory(); return nil })
+func (e *Engine) Learned(timeout time.Duration) (m warm.LearnedState, err error) {
+	err = e.runCall(timeout, func() error { m = e.copyMemory(); return nil })
 	return m, err
 }
 
 // Handover returns all learned state for another process, with half of this process's allowance for sending to caches.
-func (e *Engine) Handover(span time.Duration) (m warm.LearnedState, err error) {
-	err = e.runCall(span, func() error {
+func (e *Engine) Handover(timeout time.Duration) (m warm.LearnedState, err error) {
+	err = e.runCall(timeout, func() error {
 		m = e.copyMemory()
 		m.Halve()
 		for id, s := range m.Caches {
@@ -99,17 +99,17 @@
 }
 
 // AnswerAllOpen answers all open ops at shutdown and accepts no more. It returns when every op has its answer. Events already queued,
-// results among them, are handled first unless that takes half of span. If the engine does not respond at all, the lag responder answers.
-func (e *Engine) AnswerAllOpen(span time.Duration) error {
+// results among them, are handled first unless that takes half of timeout. If the engine does not respond at all, the lag responder answers.
+func (e *Engine) AnswerAllOpen(timeout time.Duration) error {
 	e.shuttingDown.Store(true)
 	done := make(chan struct{})
 	e.queue.put(callEvent, func() { e.answerAllOpen(); close(done) })
 	select {
 	case <-done:
 		return nil
-	case <-time.After(span / 2):
+	case <-time.After(timeout / 2):
 	}
-	err := e.runCall(span/2, func() error { e.answerAllOpen(); return nil })
+	err := e.runCall(timeout/2, func() error { e.answerAllOpen(); return nil })
 	if err != nil {
 		e.Logger.Warn().Int("requests", e.lagResponder.answerAll()).Msg("engine did not answer its open requests at shutdown in time; answered them outside its goroutine")
 	}
@@ -118,7 +118,7 @@
 
 func (e *Engine) answerAllOpen() {
 	for _, id := range slices.Sorted(maps.Keys(e.records)) {
-		if h := e.records[id]; h != nil && !h.ended {
+		if record := e.records[id]; record != nil && !record.ended {
 			e.Counters.AnsweredAtShutdown++
 			e.module.HandBack(id)
 		}
@@ -139,13 +139,13 @@
 }
 
 // SetCacheOut takes a cache out of service by name, or returns it. When it returns, no unwritten push can reach that cache any more.
-func (e *Engine) SetCacheOut(name string, out bool, span time.Duration) error {
-	return e.runCall(span, func() error { return e.setCacheOut(name, out) })
+func (e *Engine) SetCacheOut(name string, out bool, timeout time.Duration) error {
+	return e.runCall(timeout, func() error { return e.setCacheOut(name, out) })
 }
 
 // SetAllCachesOut sets the caches that are out of service, as decided by another process serving for the same proxy.
-func (e *Engine) SetAllCachesOut(names []string, span time.Duration) error {
-	return e.runCall(span, func() error {
+func (e *Engine) SetAllCachesOut(names []string, timeout time.Duration) error {
+	return e.runCall(timeout, func() error {
 		for name := range e.cachesOut {
 			if !slices.Contains(names, name) {
 				e.setCacheOut(name, false)
@@ -188,8 +188,8 @@
 var ErrLastCaches = errors.New("no cache in use would be left")
 
 // SetSite takes all caches of a zone out of service, or returns them, one after another. It returns when the first have followed.
-func (e *Engine) SetSite(zone int, override SiteOverride, span time.Duration) error {
-	return e.runCall(span, func() error {
+func (e *Engine) SetSite(zone int, override SiteOverride, timeout time.Duration) error {
+	return e.runCall(timeout, func() error {
 		schedule := e.siteSchedulesOf(map[int]SiteOverride{zone: override})[zone]
 		known, othersInUse := false, false
 		for _, s := range e.servers {
@@ -212,8 +212,8 @@
 }
 
 // SetAllSites sets the overrides of all zones, as decided by another process serving for the same proxy.
-func (e *Engine) SetAllSites(overrides map[int]SiteOverride, span time.Duration) error {
-	return e.runCall(span, func() error {
+func (e *Engine) SetAllSites(overrides map[int]SiteOverride, timeout time.Duration) error {
+	return e.runCall(timeout, func() error {
 		e.siteSchedules = e.siteSchedulesOf(overrides)
 		e.applySites()
 		return nil
--- a/internal/engine/policy_host.go
+++ b/internal/engine/policy_host.go
@@ -12,42 +12,42 @@
 
 // Push sends an op to a server. If it cannot be sent, the module is told so after it has returned.
 func (e *Engine) Push(id, cache uint32, until policy.Time) {
-	h := e.records[id]
-	if h == nil {
+	record := e.records[id]
+	if record == nil {
 		return
 	}
-	p := &push{number: h.pushCount, cache: cache, sentAt: e.now, abort: func(AbortCondition) bool { return true }}
-	h.pushCount++
-	h.openPushes = append(h.openPushes, p)
-	if until == 0 || until > h.ttl {
-		until = h.ttl
+	p := &push{number: record.pushCount, cache: cache, sentAt: e.now, abort: func(AbortCondition) bool { return true }}
+	record.pushCount++
+	record.openPushes = append(record.openPushes, p)
+	if until == 0 || until > record.ttl {
+		until = record.ttl
 	}
 	s := e.servers[cache]
-	if h.ended || h.Request.Abandoned() || !h.beginPush() || h.pushCount > h.maxPushes || until <= e.now || s == nil {
-		e.deferred = append(e.deferred, func() { e.pushEnded(h, p, Result{Outcome: policy.NotSent}) })
+	if record.ended || record.Request.Abandoned() || !record.beginPush() || record.pushCount > record.maxPushes || until <= e.now || s == nil {
+		e.deferred = append(e.deferred, func() { e.pushEnded(record, p, Result{Outcome: policy.NotSent}) })
 		return
 	}
 	e.Counters.Sent++
-	o := h.Op
+	o := record.Op
 	o.markTime(&o.Trace.FirstPush, time.Now())
 	o.Trace.Pushes.Add(1)
-	p.abort = s.Push(&h.Request, e.wallTime(until), func(r Result) {
+	p.abort = s.Push(&record.Request, e.wallTime(until), func(r Result) {
 		if r.Outcome == policy.Acked && r.Body.Size == 0 {
 			o.ackedValue.Store(&r.Value)
 		}
-		e.queue.put(answerEvent, func() { e.pushEnded(h, p, r) })
+		e.queue.put(answerEvent, func() { e.pushEnded(record, p, r) })
 	})
-	e.timers.set(until, func() { e.drop(h, p, policy.TimedOut) })
-	if h.dedupWindow > 0 && h.firstRunAt > 0 {
+	e.timers.set(until, func() { e.drop(record, p, policy.TimedOut) })
+	if record.dedupWindow > 0 && record.firstRunAt > 0 {
 		// The module started the repeat within the deduplication window. If its connection is established late, or the server hangs during
 		// the write, the repeat would arrive after the window and the op would run twice.
-		e.timers.set(h.firstRunAt+h.dedupWindow-e.Settings.Tick, func() {
+		e.timers.set(record.firstRunAt+record.dedupWindow-e.Settings.Tick, func() {
 			switch {
-			case !slices.Contains(h.openPushes, p):
+			case !slices.Contains(record.openPushes, p):
 			case p.abort(IfUnwritten):
-				e.pushWithdrawn(h, p)
+				e.pushWithdrawn(record, p)
 			case p.abort(IfUnsent):
-				e.pushEnded(h, p, Result{Outcome: policy.TimedOut}) // the kernel's information may be out of date: it may have run
+				e.pushEnded(record, p, Result{Outcome: policy.TimedOut}) // the kernel's information may be out of date: it may have run
 			}
 		})
 	}
@@ -55,15 +55,15 @@
 
 // drop aborts an open push. Its connection is closed before the module learns of it, as no second copy may be written while the first is
 // in flight on an open connection.
-func (e *Engine) drop(h *opRecord, p *push, outcome policy.Outcome) {
-	for _, open := range h.openPushes {
+func (e *Engine) drop(record *opRecord, p *push, outcome policy.Outcome) {
+	for _, open := range record.openPushes {
 		if open == p {
 			// An op that must not run twice would otherwise be answered as possibly run, though no byte of it was written.
-			if outcome == policy.TimedOut && h.effect != policy.Redeliverable && p.abort(IfUnwritten) {
+			if outcome == policy.TimedOut && record.effect != policy.Redeliverable && p.abort(IfUnwritten) {
 				outcome = policy.ConnectFailed
 			}
 			p.abort(Always)
-			e.pushEnded(h, p, Result{Outcome: outcome})
+			e.pushEnded(record, p, Result{Outcome: outcome})
 			return
 		}
 	}
@@ -71,11 +71,11 @@
 
 // Cancel aborts a push; its outcome is reported after the module has returned.
 func (e *Engine) Cancel(id uint32, number int) {
-	if h := e.records[id]; h != nil {
-		for _, p := range h.openPushes {
+	if record := e.records[id]; record != nil {
+		for _, p := range record.openPushes {
 			if p.number == number {
 				p.abort(Always)
-				e.deferred = append(e.deferred, func() { e.drop(h, p, policy.Cancelled) })
+				e.deferred = append(e.deferred, func() { e.drop(record, p, policy.Cancelled) })
 			}
 		}
 	}
@@ -83,32 +83,32 @@
 
 // Nack answers that a retry is safe.
 func (e *Engine) Nack(id uint32, retryAfter policy.Time) {
-	if h := e.open(id); h != nil {
-		e.endOp(h)
-		if e.claimAnswer(h) {
+	if record := e.open(id); record != nil {
+		e.endOp(record)
+		if e.claimAnswer(record) {
 			e.Counters.Nacked++
-			h.Reply.Nacked(time.Duration(max(retryAfter, 0)) * timeUnit)
+			record.Reply.Nacked(time.Duration(max(retryAfter, 0)) * timeUnit)
 		}
-		e.deferred = append(e.deferred, func() { e.releaseOp(h) })
+		e.deferred = append(e.deferred, func() { e.releaseOp(record) })
 	}
 }
 
 // DeadLetter answers without any statement about whether the op took effect.
 func (e *Engine) DeadLetter(id uint32) {
-	if h := e.open(id); h != nil {
-		e.endOp(h)
-		if e.claimAnswer(h) {
+	if record := e.open(id); record != nil {
+		e.endOp(record)
+		if e.claimAnswer(record) {
 			e.Counters.DeadLettered++
-			h.Reply.DeadLettered()
+			record.Reply.DeadLettered()
 		}
-		e.deferred = append(e.deferred, func() { e.releaseOp(h) })
+		e.deferred = append(e.deferred, func() { e.releaseOp(record) })
 	}
 }
 
 // open returns an op that has no answer yet, or nil.
 func (e *Engine) open(id uint32) *opRecord {
-	if h := e.records[id]; h != nil && !h.ended {
-		return h
+	if record := e.records[id]; record != nil && !record.ended {
+		return record
 	}
 	e.Counters.LateAnswers++
 	return nil
