--- a/internal/engine/endings_test.go
+++ b/internal/engine/endings_test.go
@@ -9,8 +9,8 @@
 	"minttray/policy"
 )
 
-// lines counts what the stage has met that begins so.
-func (s *stage) lines(start string) (n int) {
+// countLines counts the recorded lines with a prefix.
+func (s *recorder) countLines(start string) (n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, line := range s.log {
@@ -21,35 +21,35 @@
 	return n
 }
 
-func (s *stage) line(at int) string {
+func (s *recorder) line(at int) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.log[at]
 }
 
-// opEnds are the ways in which an op ends while a push for it is out.
+// opEnds are the ways in which an op ends while a push for it is open.
 var opEnds = map[string]func(e *Engine, o *Op){
 	"its client has left":  func(e *Engine, o *Op) { e.Abandon(o) },
-	"the process ends":     func(e *Engine, o *Op) { e.AnswerAllOpen(patience) },
-	"its time is long up":  func(e *Engine, o *Op) { e.Do(func(e *Engine) { e.expire(o.held) }) },
-	"it was answered late": func(e *Engine, o *Op) { e.Do(func(e *Engine) { e.Nack(o.held.id, 0) }) },
+	"the process ends":     func(e *Engine, o *Op) { e.AnswerAllOpen(eventTimeout) },
+	"its time is long up":  func(e *Engine, o *Op) { e.Do(func(e *Engine) { e.expire(o.record) }) },
+	"it was answered late": func(e *Engine, o *Op) { e.Do(func(e *Engine) { e.Nack(o.record.id, 0) }) },
 }
 
-// Danger: where servers take no cancelling, a push that still dials as its op ends is written after the op's answer, or for a
-// client that has left. What no server has heard of is withdrawn, whatever the settings say.
+// Guards against a push that is still dialing when its op ends being written after the op's answer or its client's leaving. Pushes that no
+// server has seen are withdrawn even where servers do not support cancelling.
 func TestWhatIsNotWrittenEndsWithItsOp(t *testing.T) {
 	for name, end := range opEnds {
 		for _, cancelling := range []bool{false, true} {
-			for category := range 3 { // an at-most-once op as well
+			for category := range 3 { // includes an at-most-once op
 				t.Run(fmt.Sprint(name, cancelling, category), func(t *testing.T) {
-					e, s := play(t, func(o *Options) { o.Settings.Cancelling = cancelling })
-					s.unwritten = true
+					e, s := startEngine(t, func(o *Options) { o.Settings.Cancelling = cancelling })
+					s.pushesUnwritten = true
 					o := s.op("a", category)
 					e.Submit(o)
 					s.await(0, "push cache")
 					end(e, o)
-					s.await(0, "taken back cache")
-					if c := settled(e); c.Withdrawn != 1 || c.Pushes[policy.NotSent] != 1 || e.ops.Load() != 0 || s.lines("push") != 1 {
+					s.await(0, "withdrawn cache")
+					if c := drainQueue(e); c.Withdrawn != 1 || c.Pushes[policy.NotSent] != 1 || e.opCount.Load() != 0 || s.countLines("push") != 1 {
 						t.Errorf("%+v", c)
 					}
 				})
@@ -58,20 +58,20 @@
 	}
 }
 
-// Danger: an op has its answer, or its client has left, while its push lies in the system's buffer for a cache that hangs: it is sent on once
-// that is back, maybe after this process has ended. What the settings say of cancelling does not matter: no server has it.
+// Guards against a push in the kernel's send buffer for a hanging cache being delivered after its op has ended, maybe after this process has.
+// It is aborted whatever the settings say about cancelling, as no server has it.
 func TestWhatHasNotComeEndsWithItsOp(t *testing.T) {
 	for name, end := range opEnds {
 		for category := range 3 {
 			t.Run(fmt.Sprint(name, category), func(t *testing.T) {
-				e, s := play(t, func(o *Options) { o.Settings.Cancelling = false })
-				s.unsent = true
+				e, s := startEngine(t, func(o *Options) { o.Settings.Cancelling = false })
+				s.pushesUnsent = true
 				o := s.op("a", category)
 				e.Submit(o)
 				s.await(0, "push cache")
 				end(e, o)
-				s.await(0, "thrown away cache")
-				if c := settled(e); c.Withdrawn != 0 || c.Pushes[policy.Cancelled] != 1 || e.ops.Load() != 0 || s.lines("push") != 1 {
+				s.await(0, "discarded cache")
+				if c := drainQueue(e); c.Withdrawn != 0 || c.Pushes[policy.Cancelled] != 1 || e.opCount.Load() != 0 || s.countLines("push") != 1 {
 					t.Errorf("%+v", c)
 				}
 			})
@@ -79,24 +79,24 @@
 	}
 }
 
-// What was written runs on under its rule: it is not given up where servers take no cancelling.
+// A push that was written is not aborted where servers do not support cancelling.
 func TestWhatIsWrittenRunsOn(t *testing.T) {
-	e, s := play(t, func(o *Options) { o.Settings.Cancelling = false })
+	e, s := startEngine(t, func(o *Options) { o.Settings.Cancelling = false })
 	o := s.op("a", 2)
 	e.Submit(o)
 	at := s.await(0, "push cache")
 	e.Abandon(o)
-	if c := settled(e); c.Withdrawn != 0 || s.lines("given up") != 0 || e.ops.Load() != 1 {
+	if c := drainQueue(e); c.Withdrawn != 0 || s.countLines("aborted") != 0 || e.opCount.Load() != 1 {
 		t.Errorf("%+v", c)
 	}
 	s.answer(at, Result{Outcome: policy.Acked, Value: []byte("v")})
-	if c := settled(e); c.Acked != 0 || e.ops.Load() != 0 || s.lines("acked") != 0 {
+	if c := drainQueue(e); c.Acked != 0 || e.opCount.Load() != 0 || s.countLines("acked") != 0 {
 		t.Errorf("%+v", c)
 	}
 }
 
-// Danger: under a burst the engine comes to an op long after its client has left, and would push for nobody. And a connection
-// may end between an op's place and its handing in, so that the leaving comes first.
+// Guards against pushes for clients that left while the engine was lagging. A connection may also end between the reading of an op and its
+// Submit, so that Abandon comes first.
 func TestClientThatLeavesWhileTheEngineIsBehind(t *testing.T) {
 	for name, play := range map[string]func(e *Engine, o *Op){
 		"behind its op":   func(e *Engine, o *Op) { e.Submit(o); e.Abandon(o) },
@@ -104,43 +104,43 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			const many = 300
-			e, s := begin(t, func(o *Options) { o.MaxOps = 2 * many })
-			over := 0
+			e, s := newTestEngine(t, func(o *Options) { o.MaxOps = 2 * many })
+			released := 0
 			for i := range many {
 				o := s.op(fmt.Sprint("op", i), i%3)
-				o.OnRelease = func() { over++ }
+				o.OnRelease = func() { released++ }
 				play(e, o)
 			}
 			stop, ended := make(chan struct{}), make(chan struct{})
-			go func() { e.Run(stop); close(ended) }() // it comes to all of them only now
-			c := settled(e)
+			go func() { e.Run(stop); close(ended) }() // the engine sees the ops only now
+			c := drainQueue(e)
 			close(stop)
 			<-ended
-			if c.Left != many || c.Sent != 0 || over != many || e.ops.Load() != 0 || e.bytes.Load() != 0 || s.lines("push") != 0 {
-				t.Errorf("%d over, %d held: %+v", over, e.ops.Load(), c)
+			if c.ClientsLeft != many || c.Sent != 0 || released != many || e.opCount.Load() != 0 || e.byteCount.Load() != 0 || s.countLines("push") != 0 {
+				t.Errorf("%d released, %d open: %+v", released, e.opCount.Load(), c)
 			}
 		})
 	}
 }
 
-// Danger: between an op's arrival and its push its client may leave; the word of that stands in the queue still.
+// Guards against a push for a client that left between the op's arrival and the push, while the Abandon event is still queued.
 func TestAPushForAClientThatHasJustLeft(t *testing.T) {
-	e, s := play(t, nil)
+	e, s := startEngine(t, nil)
 	o := s.op("a", 0)
 	e.Submit(o)
 	at := s.await(0, "push cache")
 	held, seen := make(chan bool), make(chan bool)
 	e.Do(func(*Engine) { close(seen); <-held })
 	<-seen
-	s.answer(at, Result{Outcome: policy.Rejected}) // another cache would be asked
+	s.answer(at, Result{Outcome: policy.Rejected}) // another cache would be tried next
 	e.Abandon(o)
 	close(held)
-	if c := settled(e); c.Left+c.Nacked != 1 || c.Sent != 1 || s.lines("push") != 1 || e.ops.Load() != 0 {
+	if c := drainQueue(e); c.ClientsLeft+c.Nacked != 1 || c.Sent != 1 || s.countLines("push") != 1 || e.opCount.Load() != 0 {
 		t.Errorf("%+v", c)
 	}
 }
 
-// Danger: a push that dials, or waits for another connection, as its cache begins to drain is written when the grace is over.
+// Guards against a push that is dialing or waiting for a connection when its cache starts to drain being written after the grace period.
 func TestADrainTakesBackWhatIsNotWritten(t *testing.T) {
 	at := func(id uint32, state policy.State, change func(*Member)) Member {
 		m := member(id, state)
@@ -152,7 +152,7 @@
 	for name, list := range map[string]struct {
 		kind    policy.ListKind
 		members func(first, other uint32) []Member
-		again   bool // the same cache may be asked again
+		again   bool // the same cache may be tried again
 	}{
 		"drains": {policy.ListDelta, func(f, o uint32) []Member { return []Member{at(f, policy.Draining, nil)} }, false},
 		"drains, by the whole list": {policy.ListFull, func(f, o uint32) []Member {
@@ -169,9 +169,9 @@
 			return []Member{at(f, policy.Ready, func(m *Member) { m.Start = 1 })}
 		}, true},
 	} {
-		for _, probing := range []bool{false, true} { // a probe is something new as well
+		for _, probing := range []bool{false, true} { // probes must be withdrawn as well
 			t.Run(fmt.Sprint(name, probing), func(t *testing.T) {
-				e, s := play(t, func(o *Options) { o.Settings.Probing = probing })
+				e, s := startEngine(t, func(o *Options) { o.Settings.Probing = probing })
 				e.Submit(s.op("a", 0))
 				pushed := s.await(0, "push cache")
 				first, other := uint32(1), uint32(2)
@@ -179,10 +179,10 @@
 					first, other = 2, 1
 				}
 				s.mu.Lock()
-				s.unwritten = true
+				s.pushesUnwritten = true
 				s.mu.Unlock()
 				e.UpdateList(list.kind, list.members(first, other))
-				back := s.await(pushed, "taken back "+strings.TrimPrefix(s.line(pushed), "push "))
+				back := s.await(pushed, "withdrawn "+strings.TrimPrefix(s.line(pushed), "push "))
 				again := s.await(back, "push ")
 				for probing && !strings.Contains(s.line(again), " a ") { // another probe
 					s.answer(again, Result{Outcome: policy.Acked, OpsPerSecond: 30})
@@ -198,53 +198,53 @@
 	}
 }
 
-// Danger: the engine comes to an operator's call just as the caller's time runs out: the caller is told no, and it is done all the same.
-// What has begun by then is waited for; what has not is never done.
+// Guards against a call that returns ErrBusy but takes effect: the engine may begin it just as the caller's time runs out. A call that has
+// begun is awaited; one that has not never runs.
 func TestACallIsDoneOrNotDone(t *testing.T) {
 	const span = 20 * time.Millisecond
-	e, _ := play(t, nil)
+	e, _ := startEngine(t, nil)
 	begun, hold := make(chan bool), make(chan bool)
-	said := make(chan error, 1)
+	result := make(chan error, 1)
 	go func() {
-		said <- e.ahead(span, func() error { close(begun); <-hold; return nil })
+		result <- e.runCall(span, func() error { close(begun); <-hold; return nil })
 	}()
 	<-begun
 	ran := make(chan bool, 1)
-	if err := e.ahead(10*span, func() error { ran <- true; return nil }); err != ErrBusy { // the engine stands in the first
-		t.Errorf("%v, though nothing was done", err)
+	if err := e.runCall(10*span, func() error { ran <- true; return nil }); err != ErrBusy { // the engine is blocked in the first call
+		t.Errorf("call that did not run returned %v", err)
 	}
-	early := len(said) > 0 // by now the first is far past its time, ten times over
+	early := len(result) > 0 // by now ten times the first call's span has passed
 	close(hold)
-	if err := <-said; err != nil || early {
-		t.Errorf("told %v, early %v, and it is done", err, early)
+	if err := <-result; err != nil || early {
+		t.Errorf("call returned %v, early: %v, though it took effect", err, early)
 	}
-	settled(e)
+	drainQueue(e)
 	if len(ran) > 0 {
-		t.Error("done after a no")
+		t.Error("call ran after it had returned ErrBusy")
 	}
 }
 
-// What is written stays: a drain is no cancelling.
+// A push that was written is not aborted by a drain.
 func TestADrainLeavesWhatIsWritten(t *testing.T) {
-	e, s := play(t, nil)
+	e, s := startEngine(t, nil)
 	e.Submit(s.op("a", 2))
 	at := s.await(0, "push cache")
 	e.UpdateList(policy.ListDelta, []Member{member(1, policy.Draining), member(2, policy.Draining)})
-	settled(e)
+	drainQueue(e)
 	s.answer(at, Result{Outcome: policy.Acked, Value: []byte("v")})
 	s.await(at, "acked a v")
-	if s.lines("push") != 1 || s.lines("taken back") != 0 {
+	if s.countLines("push") != 1 || s.countLines("withdrawn") != 0 {
 		t.Error(s.log)
 	}
 }
 
-// Danger: a repeat is let go within the window in which caches drop it, and is written behind that, as its connection comes up late: the op
-// runs twice. A repeat that no window has run out for goes on.
+// Guards against an op running twice: a repeat starts within the caches' deduplication window, but its connection is established late and it
+// is written after the window. Ops without a window in force are not affected.
 func TestARepeatIsNotWrittenBehindItsWindow(t *testing.T) {
 	for name, c := range map[string]struct {
-		effect policy.Effect
-		first  Result
-		taken  bool
+		effect    policy.Effect
+		first     Result
+		withdrawn bool
 	}{
 		"deduplicated, and may have run":  {policy.Deduplicated, Result{Outcome: policy.Errored}, true},
 		"deduplicated, and has never run": {policy.Deduplicated, Result{Outcome: policy.Rejected}, false},
@@ -252,66 +252,66 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			e, s := play(t, func(o *Options) {
+			e, s := startEngine(t, func(o *Options) {
 				o.Settings.Cancelling = false
 				o.Settings.Categories[2] = policy.Category{Effect: c.effect, Window: 5000, Target: 15000, TTL: 20000, Benefit: 1}
 			})
 			e.Submit(s.op("a", 2))
 			at := s.await(0, "push cache")
 			s.mu.Lock()
-			s.unwritten = true // from here on: the repeat's connection does not come up
+			s.pushesUnwritten = true // the repeat's connection is never established
 			s.mu.Unlock()
 			s.answer(at, c.first)
 			again := s.await(at+1, "push cache")
-			s.await(again, "taken back cache", "given up cache") // its window is over, or its time
+			s.await(again, "withdrawn cache", "aborted cache") // its window or its time is over
 			s.await(again, "dead-lettered a", "nacked a")
-			if got := settled(e); (got.Withdrawn > 0) != c.taken {
+			if got := drainQueue(e); (got.Withdrawn > 0) != c.withdrawn {
 				t.Errorf("%+v", got)
 			}
-			if n := s.lines("push cache"); n != 2 && c.taken {
+			if n := s.countLines("push cache"); n != 2 && c.withdrawn {
 				t.Errorf("%d pushes", n)
 			}
 		})
 	}
 }
 
-// Danger: a repeat has been written, but lies in the system's buffer for a cache that hangs as the window runs out in which caches drop it:
-// the cache takes it once it is back, and the op runs twice. One that has come to its cache goes on.
+// Guards against an op running twice: a repeat was written but is in the kernel's send buffer for a hanging cache when the deduplication
+// window ends, and the cache would take it later. A repeat that the cache has received goes on.
 func TestARepeatThatHasNotComeEndsWithItsWindow(t *testing.T) {
 	for _, unsent := range []bool{true, false} {
 		t.Run(fmt.Sprint(unsent), func(t *testing.T) {
 			t.Parallel()
-			e, s := play(t, func(o *Options) {
+			e, s := startEngine(t, func(o *Options) {
 				o.Settings.Cancelling = false
 				o.Settings.Categories[2] = policy.Category{Effect: policy.Deduplicated, Window: 5000, Target: 15000, TTL: 20000, Benefit: 1}
 			})
-			s.unsent = unsent
+			s.pushesUnsent = unsent
 			e.Submit(s.op("a", 2))
 			at := s.await(0, "push cache")
 			s.answer(at, Result{Outcome: policy.Errored})
 			again := s.await(at+1, "push cache")
 			if unsent {
-				s.await(again, "thrown away")
+				s.await(again, "discarded")
 			}
 			s.await(again, "dead-lettered a", "nacked a")
-			if c := settled(e); s.lines("push cache") != 2 || s.lines("thrown away") > 0 != unsent || c.Withdrawn > 0 || c.Pushes[policy.TimedOut] != 1 {
+			if c := drainQueue(e); s.countLines("push cache") != 2 || s.countLines("discarded") > 0 != unsent || c.Withdrawn > 0 || c.Pushes[policy.TimedOut] != 1 {
 				t.Errorf("%+v", c)
 			}
 		})
 	}
 }
 
-// Danger: an at-most-once op whose connection has not come up by its time is answered as one that may have run; its client must not try
-// again, though nothing was sent. One that was written may have run, and its client is told so.
+// Guards against telling a client that its op may have run when no connection was established and nothing was sent. If the push was written,
+// the op may have run and the client must be told so.
 func TestWhatNeverCameUpHasNeverRun(t *testing.T) {
 	for _, unwritten := range []bool{true, false} {
 		for _, effect := range []policy.Effect{policy.AtMostOnce, policy.Deduplicated} {
 			t.Run(fmt.Sprint(unwritten, effect), func(t *testing.T) {
 				t.Parallel()
-				e, s := play(t, func(o *Options) {
+				e, s := startEngine(t, func(o *Options) {
 					o.Settings.Categories[2] = policy.Category{Effect: effect, Group: policy.GroupCell, Window: 1000, Target: 1000, TTL: 2000, Benefit: 1}
 				})
-				s.unwritten = unwritten
+				s.pushesUnwritten = unwritten
 				e.Submit(s.op("a", 2))
 				at := s.await(0, "push cache")
 				want := "dead-lettered a"
@@ -319,7 +319,7 @@
 					want = "nacked a"
 				}
 				s.await(at, want)
-				if c := settled(e); c.Nacked+c.DeadLettered != 1 || (c.Pushes[policy.ConnectFailed] > 0) != unwritten {
+				if c := drainQueue(e); c.Nacked+c.DeadLettered != 1 || (c.Pushes[policy.ConnectFailed] > 0) != unwritten {
 					t.Errorf("%+v", c)
 				}
 			})
--- a/internal/engine/queue.go
+++ b/internal/engine/queue.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// eventKind is what an event is about.
+// eventKind classifies events for the counters.
 type eventKind uint8
 
 const (
@@ -15,38 +15,38 @@
 	leaveEvent
 	listEvent
 	probeEvent
-	callEvent // of an operator, or the daemon
-	settleEvent
+	callEvent // by an operator or the daemon
+	answeredEvent
 	timerEvent
-	eventKinds
+	eventKindCount
 )
 
-var eventNames = [eventKinds]string{"request", "answer", "client left", "list", "probe", "call", "settle", "timer"}
+var eventNames = [eventKindCount]string{"request", "answer", "client left", "list", "probe", "call", "settle", "timer"}
 
 func (k eventKind) String() string { return eventNames[k] }
 
 type event struct {
-	at   time.Time
-	kind eventKind
-	do   func()
+	queuedAt time.Time
+	kind     eventKind
+	run      func()
 }
 
-// queue is the one way to the engine. Putting never blocks: what a front may hold is bounded before it puts,
-// and a server's results are bounded by the pushes that are out.
+// queue carries all input to the engine's goroutine. put never blocks. The queue is bounded because fronts are limited in what they submit
+// and servers' results by the pushes in flight.
 type queue struct {
-	mu     sync.Mutex
-	events []event
-	early  []func()    // operators' calls
-	any    atomic.Bool // of those
-	wake   chan struct{}
+	mu       sync.Mutex
+	events   []event
+	calls    []func()    // operators' calls, run before all events
+	hasCalls atomic.Bool // whether calls is not empty
+	wake     chan struct{}
 }
 
-func (q *queue) put(kind eventKind, do func()) {
+func (q *queue) put(kind eventKind, run func()) {
 	q.mu.Lock()
-	q.events = append(q.events, event{time.Now(), kind, do})
-	first := len(q.events) == 1
+	q.events = append(q.events, event{time.Now(), kind, run})
+	wasEmpty := len(q.events) == 1
 	q.mu.Unlock()
-	if first {
+	if wasEmpty {
 		select {
 		case q.wake <- struct{}{}:
 		default:
@@ -54,17 +54,17 @@
 	}
 }
 
-// oldest is when the event was put that has waited for longest.
-func (q *queue) oldest() (at time.Time, some bool) {
+// oldest returns when the longest-waiting event was queued.
+func (q *queue) oldest() (at time.Time, ok bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if len(q.events) == 0 {
 		return at, false
 	}
-	return q.events[0].at, true
+	return q.events[0].queuedAt, true
 }
 
-// take swaps the waiting events for an empty slice.
+// take returns the waiting events and leaves an empty slice in their place.
 func (q *queue) take(empty []event) []event {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -73,11 +73,11 @@
 	return events
 }
 
-// putFirst hands in what is done before all else.
-func (q *queue) putFirst(do func()) {
+// putCall queues a call that runs before all events.
+func (q *queue) putCall(call func()) {
 	q.mu.Lock()
-	q.early = append(q.early, do)
-	q.any.Store(true)
+	q.calls = append(q.calls, call)
+	q.hasCalls.Store(true)
 	q.mu.Unlock()
 	select {
 	case q.wake <- struct{}{}:
@@ -85,14 +85,14 @@
 	}
 }
 
-func (q *queue) takeFirst() []func() {
-	if !q.any.Load() {
+func (q *queue) takeCalls() []func() {
+	if !q.hasCalls.Load() {
 		return nil
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	early := q.early
-	q.early = nil
-	q.any.Store(false)
-	return early
+	calls := q.calls
+	q.calls = nil
+	q.hasCalls.Store(false)
+	return calls
 }
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -22,16 +22,16 @@
 		t.Fatal(err)
 	}
 	if !a.Changed() {
-		t.Error("a change is not seen")
+		t.Error("Changed did not report the update")
 	}
 	if w, err := a.Read(); err != nil || fmt.Sprint(w) != "{[s-1 s-2] true map[] map[]}" || a.Changed() {
 		t.Errorf("%+v %v", w, err)
 	}
 	if w, _ := Open(dir, "n1", "127.0.0.1:2").Read(); len(w.CachesOut) > 0 {
-		t.Error("another proxy's word")
+		t.Error("overrides of another proxy were read")
 	}
 	var all sync.WaitGroup
-	for i := range 20 { // both processes at once: no word is lost
+	for i := range 20 { // concurrent updates by both processes: none may be lost
 		all.Add(1)
 		go func() {
 			defer all.Done()
@@ -46,8 +46,9 @@
 	}
 }
 
-// Danger: what is half written, or another's, takes caches out that nobody named, or lets one in that is out.
-func TestWhatCannotBeUsedIsPassedOver(t *testing.T) {
+// Guards against using a file that is cut short, corrupted or of another proxy: it would take the wrong caches out of service, or return
+// one that is out.
+func TestUnusableOverridesAreRejected(t *testing.T) {
 	dir := t.TempDir()
 	s := Open(dir, "n1", "a")
 	if err := s.Update(func(w *Overrides) { w.CachesOut = []string{"s-1"} }); err != nil {
@@ -84,21 +85,21 @@
 	dir := t.TempDir()
 	old, next, third := Open(dir, "n1", "a"), Open(dir, "n1", "a"), Open(dir, "n1", "a")
 	if !old.AcquireRole(RoleActive) || old.RoleHeldByOther(RoleActive) || old.RoleHeldByOther(RoleStandby) {
-		t.Error("alone, and not so")
+		t.Error("a single process does not hold RoleActive alone")
 	}
 	if next.AcquireRole(RoleActive) || !next.AcquireRole(RoleStandby) || !old.RoleHeldByOther(RoleStandby) || !next.RoleHeldByOther(RoleActive) || third.AcquireRole(RoleStandby) {
-		t.Error("two processes, and one has not seen it")
+		t.Error("two processes do not see each other's roles")
 	}
 	old.ReleaseRole(RoleActive)
 	if !next.AcquireRole(RoleActive) {
-		t.Error("the old one has gone, and its role is not free")
+		t.Error("the role released by the old process is not free")
 	}
 	if next.ReleaseRole(RoleStandby); !third.AcquireRole(RoleStandby) || !next.RoleHeldByOther(RoleStandby) {
-		t.Error("a second upgrade in a row")
+		t.Error("second upgrade in a row: RoleStandby is not free, or not seen as held")
 	}
 }
 
-var learned = warm.LearnedState{Caches: map[uint32]warm.ServerState{7: {Name: "s-1", Start: 5, LatencyBins: []float64{0, 8},
+var testMemory = warm.LearnedState{Caches: map[uint32]warm.ServerState{7: {Name: "s-1", Start: 5, LatencyBins: []float64{0, 8},
 	Record: evidence.Record{Sent: evidence.Window{3, 1}, Done: evidence.Window{9}, Limit: 2.5, Good: 8}}}, LatencyBins: []float64{1, 2},
 	RecentKeys: []uint64{1 << 63, 5}, HotKeys: []warm.HotKey{{Key: 9, Count: 4}}, KeyRequests: 100, Tokens: []float64{-3, 4},
 	ClientTimeouts: []warm.ClientTimeout{{Timeout: 500, Votes: 8}}, Kinds: []warm.MachineKind{{OctavesSlower: 0.5, MeanLog2: 3, Samples: 9, ReportBaseline: 20}}}
@@ -107,40 +108,40 @@
 	dir := t.TempDir()
 	old, next := Open(dir, "n1", "a"), Open(dir, "n1", "a")
 	if _, err := next.AwaitHandover(10 * time.Millisecond); err == nil {
-		t.Error("given by nobody")
+		t.Error("handover read though none was written")
 	}
-	give := func(at time.Time) {
-		if err := old.WriteHandover(Handover{At: at, Memory: learned}); err != nil {
+	writeHandover := func(at time.Time) {
+		if err := old.WriteHandover(Handover{At: at, Memory: testMemory}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	time.AfterFunc(20*time.Millisecond, func() { give(time.Now()) })
+	time.AfterFunc(20*time.Millisecond, func() { writeHandover(time.Now()) })
 	h, err := next.AwaitHandover(10 * time.Second)
 	if r := h.Memory.Caches[7].Record; err != nil || r.Sent.Sum() != 4 || r.Limit != 2.5 {
 		t.Errorf("%+v %v", h, err)
 	}
 	if _, err := next.AwaitHandover(10 * time.Millisecond); err == nil {
-		t.Error("given twice")
+		t.Error("handover read twice")
 	}
 	for _, at := range []time.Time{time.Now().Add(-time.Hour), time.Now().Add(time.Hour)} {
-		give(at)
+		writeHandover(at)
 		if h, err := next.AwaitHandover(10 * time.Millisecond); err == nil || len(h.Memory.Caches) > 0 {
-			t.Errorf("of %v, and taken", at)
+			t.Errorf("handover dated %v was accepted", at)
 		}
 	}
-	give(time.Now())
+	writeHandover(time.Now())
 	if next.RemoveHandover(); next.path != old.path {
-		t.Error("two paths")
+		t.Error("the two stores have different paths")
 	}
 	if _, err := next.AwaitHandover(10 * time.Millisecond); err == nil {
-		t.Error("what was given to another is taken")
+		t.Error("removed handover was read")
 	}
 }
 
-// Words on sites outlive their process as long as they can matter, and one that can't be meant is refused.
+// Site overrides are kept as long as they can have an effect, and a duration over the limit is rejected.
 func TestWordsOnSites(t *testing.T) {
 	dir := t.TempDir()
-	s, ago := Open(dir, "n1", "127.0.0.1:1"), time.Now().Add(-backFor-2*time.Second)
+	s, ago := Open(dir, "n1", "127.0.0.1:1"), time.Now().Add(-returnRetention-2*time.Second)
 	put := func(name string, w SiteOverride) {
 		if err := s.Update(func(all *Overrides) {
 			if all.Sites == nil {
