--- a/cmd/mintlab/main.go
+++ b/cmd/mintlab/main.go
@@ -164,7 +164,7 @@
 				}
 				if !quiet {
 					o.Say = func(format string, args ...any) { fmt.Fprintf(cmd.ErrOrStderr(), format+"\n", args...) }
-					fmt.Fprintf(cmd.ErrOrStderr(), "%s: %s, %v\n", j.path, name, j.x.Length.D())
+					fmt.Fprintf(cmd.ErrOrStderr(), "%s: %s, %v\n", j.path, name, j.x.Length.Std())
 				}
 				os.RemoveAll(o.Dir)
 				r, err := run.Play(j.x, o)
--- a/lab/experiment/experiment.go
+++ b/lab/experiment/experiment.go
@@ -16,24 +16,24 @@
 	"minttray/strict"
 )
 
-// Span is a span of time, written with its unit.
-type Span time.Duration
+// Duration is a span of time, written with its unit.
+type Duration time.Duration
 
 // UnmarshalText reads "250ms".
-func (s *Span) UnmarshalText(text []byte) error {
+func (s *Duration) UnmarshalText(text []byte) error {
 	d, err := time.ParseDuration(string(text))
 	if err != nil {
 		return fmt.Errorf("%q is no span of time with a unit, such as \"250ms\"", text)
 	}
-	*s = Span(d)
+	*s = Duration(d)
 	return nil
 }
 
 // MarshalText writes it back.
-func (s Span) MarshalText() ([]byte, error) { return []byte(time.Duration(s).String()), nil }
+func (s Duration) MarshalText() ([]byte, error) { return []byte(time.Duration(s).String()), nil }
 
-// D is the span as Go has it.
-func (s Span) D() time.Duration { return time.Duration(s) }
+// Std is the span as Go has it.
+func (s Duration) Std() time.Duration { return time.Duration(s) }
 
 // File is one experiment. Zero values stand for what Defaults says.
 type File struct {
@@ -41,21 +41,21 @@
 	About    string     `toml:"about"`
 	From     string     `toml:"from"` // another file, of the same directory, that this one changes; it has no From itself
 	Seed     uint64     `toml:"seed"`
-	Length   Span       `toml:"length"`
-	Warm     Span       `toml:"warm"` // at the start, not counted in the figures; rules count from the first op
+	Length   Duration       `toml:"length"`
+	WarmUp     Duration       `toml:"warm"` // at the start, not counted in the figures; rules count from the first op
 	Proxies  Proxies    `toml:"proxies"`
 	Caches   Caches     `toml:"caches"`
 	Origin   Origin     `toml:"origin"`
 	Zones    Zones      `toml:"zones"`
 	List     List       `toml:"list"`
-	Category []Category `toml:"category"`
-	Tenant   []Tenant   `toml:"tenant"`
+	Categories []Category `toml:"category"`
+	Tenants   []Tenant   `toml:"tenant"`
 	Keys     Keys       `toml:"keys"`
 	Load     Load       `toml:"load"`
 	Clients  Clients    `toml:"clients"`
-	Front    Front      `toml:"front"`
+	Balancer    Front      `toml:"front"`
 	Rules    Rules      `toml:"rules"`
-	Fault    []Fault    `toml:"fault"`
+	Faults    []Fault    `toml:"fault"`
 
 	path  string
 	lines map[string]int
@@ -79,11 +79,11 @@
 	Queue       int     `toml:"queue"` // places to wait in
 	MemoryMB    float64 `toml:"memory_mb"`
 	Connections int     `toml:"connections"`
-	Handshake   Span    `toml:"handshake"` // work of a new connection
+	Handshake   Duration    `toml:"handshake"` // work of a new connection
 	ColdFrom    float64 `toml:"cold_from"` // share of its capacity that one has right after its start
-	WarmUp      Span    `toml:"warm_up"`
+	WarmUp      Duration    `toml:"warm_up"`
 	Cancel      string  `toml:"cancel"` // what a push that is given up stops: all, queued, none
-	ReportEvery Span    `toml:"report_every"`
+	ReportEvery Duration    `toml:"report_every"`
 	Small       float64 `toml:"small"` // share of them that are of the kind "small": half the cores
 	Full        bool    `toml:"full"`  // hold the most asked keys at the start
 }
@@ -92,33 +92,33 @@
 type Origin struct {
 	Cores  int     `toml:"cores"`
 	Queue  int     `toml:"queue"`
-	Work   Span    `toml:"work"`   // of a fetch, mean
+	Work   Duration    `toml:"work"`   // of a fetch, mean
 	Thrash float64 `toml:"thrash"` // slower by this share for each core's worth that waits
 }
 
 // Zones are places with a delay between them.
 type Zones struct {
 	Names []string `toml:"names"`
-	Delay Span     `toml:"delay"` // one way
+	Delay Duration     `toml:"delay"` // one way
 }
 
 // List is how the list of caches reaches the proxies.
 type List struct {
-	Late  Span `toml:"late"`
-	Every Span `toml:"every"` // an agent takes news at most so often, all that has come by then together; 0: each by itself
+	Late  Duration `toml:"late"`
+	Every Duration `toml:"every"` // an agent takes news at most so often, all that has come by then together; 0: each by itself
 }
 
 // Category is a kind of op.
 type Category struct {
 	Name    string  `toml:"name"`
 	Share   float64 `toml:"share"`
-	Work    Span    `toml:"work"` // mean
-	Target  Span    `toml:"target"`
-	TTL     Span    `toml:"ttl"`
+	Work    Duration    `toml:"work"` // mean
+	Target  Duration    `toml:"target"`
+	TTL     Duration    `toml:"ttl"`
 	Benefit float64 `toml:"benefit"`
 	Effect  string  `toml:"effect"` // redeliverable, deduplicated, at-most-once
-	Group   string  `toml:"group"`  // of a deduplicated one: all, zone
-	Window  Span    `toml:"window"`
+	DedupGroup   string  `toml:"group"`  // of a deduplicated one: all, zone
+	DedupWindow  Duration    `toml:"window"`
 	Write   bool    `toml:"write"`
 	Size    int     `toml:"size"` // bytes of a value
 }
@@ -133,54 +133,54 @@
 // Keys are what ops name.
 type Keys struct {
 	Count int     `toml:"count"`
-	Zipf  float64 `toml:"zipf"`
-	Drift float64 `toml:"drift"` // share of the ranks that go to other keys each second
+	ZipfExponent  float64 `toml:"zipf"`
+	DriftPerSecond float64 `toml:"drift"` // share of the ranks that go to other keys each second
 }
 
 // Load is the arrivals: Poisson, at a rate, with surges.
 type Load struct {
 	Rate  float64 `toml:"rate"`
-	Surge []Surge `toml:"surge"`
+	Surges []Surge `toml:"surge"`
 }
 
 // Surge multiplies the rate for a while.
 type Surge struct {
-	At    Span    `toml:"at"`
-	For   Span    `toml:"for"`
-	Times float64 `toml:"times"`
+	Start    Duration    `toml:"at"`
+	Duration   Duration    `toml:"for"`
+	Factor float64 `toml:"times"`
 }
 
 // Clients are how those who ask behave.
 type Clients struct {
 	Retries  int     `toml:"retries"`
-	Wait     Span    `toml:"wait"`     // before a try that comes again, without advice
-	Patience float64 `toml:"patience"` // share of the TTL after which a try is given up
-	Leave    float64 `toml:"leave"`    // share of the tries whose client goes away early
-	Heed     float64 `toml:"heed"`     // share of the clients that heed a come-back time
-	Marks    bool    `toml:"marks"`
+	RetryDelay     Duration    `toml:"wait"`     // before a try that comes again, without advice
+	TryTimeoutShare float64 `toml:"patience"` // share of the TTL after which a try is given up
+	LeaveShare    float64 `toml:"leave"`    // share of the tries whose client goes away early
+	RetryAfterShare     float64 `toml:"heed"`     // share of the clients that heed a come-back time
+	MarkRetries    bool    `toml:"marks"`
 }
 
 // Front deals clients' connections to proxies, and goes on sending to a dead one for a while.
 type Front struct {
-	Notice Span `toml:"notice"`
+	DetectionDelay Duration `toml:"notice"`
 }
 
 // Rules are the figures of the four rules.
 type Rules struct {
-	Grace        Span    `toml:"grace"` // after the list said that a cache drains or has gone
+	Grace        Duration    `toml:"grace"` // after the list said that a cache drains or has gone
 	FallMultiple float64 `toml:"fall_multiple"`
-	TipAfter     Span    `toml:"tip_after"`
+	TipAfter     Duration    `toml:"tip_after"`
 	MostPushes   int     `toml:"most_pushes"`
 	TwoAtOnce    bool    `toml:"two_at_once"`
-	MaxComeBack  Span    `toml:"max_come_back"`
-	Held         Span    `toml:"held"`  // a refusal so long after the op's last push is held back; 0: half of its category's TTL
-	Slack        Span    `toml:"slack"` // for the machine's own delays
+	MaxRetryAfter  Duration    `toml:"max_come_back"`
+	Held         Duration    `toml:"held"`  // a refusal so long after the op's last push is held back; 0: half of its category's TTL
+	Slack        Duration    `toml:"slack"` // for the machine's own delays
 }
 
 // Fault is one line of the timeline.
 type Fault struct {
-	At    Span    `toml:"at"`
-	For   Span    `toml:"for"`
+	Start    Duration    `toml:"at"`
+	Duration   Duration    `toml:"for"`
 	Kind  string  `toml:"kind"`
 	Count int     `toml:"count"`
 	Share float64 `toml:"share"`
@@ -188,7 +188,7 @@
 	Of    string  `toml:"of"` // a machine kind: std, small
 	Size  float64 `toml:"size"`
 	Batch float64 `toml:"batch"` // of a roll or deploy: share at a time
-	Down  Span    `toml:"down"`
+	Down  Duration    `toml:"down"`
 	By    string  `toml:"by"`   // of waves: term, kill, upgrade, mixed; of signals: one of Signals
 	Name  string  `toml:"name"` // of a tenant
 	To    string  `toml:"to"`   // of a way: the other zone; empty: all others
@@ -220,8 +220,8 @@
 // KillAfter is how long after SIGTERM a process is killed at the earliest: the longest deadline of the deployment, and a margin.
 func (f *File) KillAfter() time.Duration {
 	longest := time.Duration(0)
-	for _, c := range f.Category {
-		longest = max(longest, c.TTL.D())
+	for _, c := range f.Categories {
+		longest = max(longest, c.TTL.Std())
 	}
 	return min(longest, longestDeadline) + killMargin
 }
@@ -234,14 +234,14 @@
 
 // Cuts tells whether ways between processes break: only then does the lab stand between them.
 func (f *File) Cuts() bool {
-	return slices.ContainsFunc(f.Fault, func(x Fault) bool {
+	return slices.ContainsFunc(f.Faults, func(x Fault) bool {
 		return x.Kind == "site-cut" || x.Kind == "site-lost" && x.Origin || strings.HasPrefix(x.Kind, "way-")
 	})
 }
 
 // Operated tells whether operators call the proxies: else these are not told where to listen for that.
 func (f *File) Operated() bool {
-	return slices.ContainsFunc(f.Fault, func(x Fault) bool {
+	return slices.ContainsFunc(f.Faults, func(x Fault) bool {
 		return x.Kind == "hand" || x.Kind == "site-hand" || x.Kind == "retune" || x.Kind == "proxy-upgrade" || x.Kind == "lameduck" ||
 			x.Kind == "proxy-waves" && (x.By == "upgrade" || x.By == "mixed")
 	})
--- a/lab/experiment/experiment_test.go
+++ b/lab/experiment/experiment_test.go
@@ -36,7 +36,7 @@
 
 func TestOverlay(t *testing.T) {
 	x, err := Decode("f.toml", []byte(good), "load.rate=77", "length=12s", "caches.mode=\"through\"")
-	if err != nil || x.Load.Rate != 77 || x.Length.D() != 12*time.Second || x.Caches.Mode != "through" || x.Caches.Cores != 3 {
+	if err != nil || x.Load.Rate != 77 || x.Length.Std() != 12*time.Second || x.Caches.Mode != "through" || x.Caches.Cores != 3 {
 		t.Errorf("%+v, %v", x, err)
 	}
 	if _, err := Decode("f.toml", []byte(good), "load.rat=77"); err == nil {
@@ -55,14 +55,14 @@
 		y := *x
 		x.Draw(seed)
 		y.Draw(seed)
-		if !reflect.DeepEqual(x.Fault, y.Fault) || len(x.Fault) < 2 {
-			t.Fatalf("%d: %+v and %+v", seed, x.Fault, y.Fault)
+		if !reflect.DeepEqual(x.Faults, y.Faults) || len(x.Faults) < 2 {
+			t.Fatalf("%d: %+v and %+v", seed, x.Faults, y.Faults)
 		}
 		if err := x.check(); err != nil {
 			t.Errorf("%d: %v", seed, err)
 		}
-		for _, f := range x.Fault {
-			if kinds[f.Kind] = true; f.At+f.For > x.Length*3/4 {
+		for _, f := range x.Faults {
+			if kinds[f.Kind] = true; f.Start+f.Duration > x.Length*3/4 {
 				t.Errorf("%d: %+v", seed, f)
 			}
 		}
--- a/lab/experiment/soak.go
+++ b/lab/experiment/soak.go
@@ -22,8 +22,8 @@
 	d := soakDraw{rand.New(rand.NewPCG(seed, 0x736f616b))}
 	f := Defaults()
 	f.Name, f.Seed = fmt.Sprintf("soak-%d", seed), seed
-	f.Length, f.Warm = Span(length), Span(soakWarm)
-	f.Rules.Slack = Span(soakSlack)
+	f.Length, f.WarmUp = Duration(length), Duration(soakWarm)
+	f.Rules.Slack = Duration(soakSlack)
 	d.fleet(f)
 	d.categories(f)
 	d.clients(f)
@@ -42,8 +42,8 @@
 func (d soakDraw) between(from, to float64) float64 { return from + (to-from)*d.Float64() }
 
 // span draws a span evenly over its magnitudes.
-func (d soakDraw) span(from, to time.Duration) Span {
-	return Span(time.Duration(float64(from) * math.Pow(float64(to)/float64(from), d.Float64())).Round(time.Millisecond))
+func (d soakDraw) span(from, to time.Duration) Duration {
+	return Duration(time.Duration(float64(from) * math.Pow(float64(to)/float64(from), d.Float64())).Round(time.Millisecond))
 }
 
 func (d soakDraw) one(of ...string) string { return of[d.IntN(len(of))] }
@@ -56,11 +56,11 @@
 	f.Caches.Connections = 64 << d.IntN(4)
 	f.List.Late = d.span(200*time.Millisecond, 1500*time.Millisecond)
 	f.Rules.MostPushes = 2 + d.IntN(4)
-	f.Rules.Grace = Span(time.Second + time.Duration(d.IntN(1500))*time.Millisecond)
+	f.Rules.Grace = Duration(time.Second + time.Duration(d.IntN(1500))*time.Millisecond)
 	switch x := d.Float64(); {
 	case x < 0.6:
 		f.Caches.Count, f.Caches.MemoryMB = 2+d.IntN(40), 1
-		f.Zones = Zones{Names: []string{"a", "b", "c"}[:1+d.IntN(3)], Delay: Span(time.Duration(d.IntN(8)) * time.Millisecond)}
+		f.Zones = Zones{Names: []string{"a", "b", "c"}[:1+d.IntN(3)], Delay: Duration(time.Duration(d.IntN(8)) * time.Millisecond)}
 	case x < 0.8:
 		f.Caches.Count, f.Caches.MemoryMB = 100+d.IntN(400), 0.1
 		f.List.Every = d.span(300*time.Millisecond, 1500*time.Millisecond)
@@ -76,46 +76,46 @@
 	for i := range n {
 		ttl := d.span(soakShortest, soakLongest)
 		c := Category{Name: fmt.Sprint("class", i), Share: 1 / float64(n), TTL: ttl, Target: ttl / 2, Benefit: 1 + float64(d.IntN(5)),
-			Work: min(ttl/8, Span(10*time.Millisecond)), Effect: d.one("redeliverable", "redeliverable", "deduplicated", "at-most-once")}
-		c.Window = d.span(200*time.Millisecond, 5*time.Second)
-		c.Group = d.one("all", "zone")
+			Work: min(ttl/8, Duration(10*time.Millisecond)), Effect: d.one("redeliverable", "redeliverable", "deduplicated", "at-most-once")}
+		c.DedupWindow = d.span(200*time.Millisecond, 5*time.Second)
+		c.DedupGroup = d.one("all", "zone")
 		c.Write = d.IntN(4) == 0
-		f.Category = append(f.Category, c)
+		f.Categories = append(f.Categories, c)
 	}
 }
 
 func (d soakDraw) clients(f *File) {
 	f.Load.Rate = d.between(60, 300)
 	f.Clients.Retries = d.IntN(4)
-	f.Clients.Patience = d.between(0.5, 1)
-	f.Clients.Leave = d.between(0, 0.1)
-	f.Keys.Zipf = d.between(1.01, 2.5)
-	f.Front.Notice = Span(500 * time.Millisecond)
+	f.Clients.TryTimeoutShare = d.between(0.5, 1)
+	f.Clients.LeaveShare = d.between(0, 0.1)
+	f.Keys.ZipfExponent = d.between(1.01, 2.5)
+	f.Balancer.DetectionDelay = Duration(500 * time.Millisecond)
 }
 
 // timeline draws what goes wrong. Processes that are stopped are not signalled as well: what a stopped one is sent it hears later.
 func (d soakDraw) timeline(f *File) {
-	room := f.Length.D()*3/4 - f.Warm.D()
+	room := f.Length.Std()*3/4 - f.WarmUp.Std()
 	stalls := d.IntN(3) == 0
 	for range 3 + d.IntN(4) {
 		at := time.Duration(d.Float64() * float64(room) * 2 / 3)
-		x := Fault{At: Span(f.Warm.D() + at.Round(time.Millisecond)), For: Span(time.Duration((0.2 + 0.5*d.Float64()) * float64(room-at)).Round(time.Millisecond))}
+		x := Fault{Start: Duration(f.WarmUp.Std() + at.Round(time.Millisecond)), Duration: Duration(time.Duration((0.2 + 0.5*d.Float64()) * float64(room-at)).Round(time.Millisecond))}
 		if d.IntN(2) == 0 {
 			d.processes(f, &x, stalls)
 		} else {
 			d.surroundings(&x)
 		}
-		f.Fault = append(f.Fault, x)
+		f.Faults = append(f.Faults, x)
 	}
 }
 
 // processes draws what happens to proxies.
 func (d soakDraw) processes(f *File, x *Fault, stalls bool) {
 	if stalls {
-		x.Kind, x.Count, x.For = "stall", 1+d.IntN(f.Proxies.Count), Span(time.Duration(50+d.IntN(1200))*time.Millisecond)
+		x.Kind, x.Count, x.Duration = "stall", 1+d.IntN(f.Proxies.Count), Duration(time.Duration(50+d.IntN(1200))*time.Millisecond)
 		return
 	}
-	x.Kind, x.Down = d.one("proxy-signals", "proxy-signals", "proxy-roll", "proxy-kill", "crowd"), Span(300*time.Millisecond)
+	x.Kind, x.Down = d.one("proxy-signals", "proxy-signals", "proxy-roll", "proxy-kill", "crowd"), Duration(300*time.Millisecond)
 	switch x.Kind {
 	case "crowd":
 		x.Size = float64(20 + d.IntN(300))
@@ -128,17 +128,17 @@
 	case "proxy-roll":
 		x.Share, x.Batch = 1, 0.25+d.Float64()/2
 	}
-	x.For = 0
+	x.Duration = 0
 }
 
 // quota has all proxies run for a part of the time in one of five runs, unless processes are stopped in it for longer.
 func (d soakDraw) quota(f *File) {
-	stalls := slices.ContainsFunc(f.Fault, func(x Fault) bool { return x.Kind == "stall" })
+	stalls := slices.ContainsFunc(f.Faults, func(x Fault) bool { return x.Kind == "stall" })
 	if d.IntN(5) > 0 || stalls {
 		return
 	}
-	at := f.Warm.D() + time.Duration(d.Float64()*float64(f.Length.D())/4)
-	f.Fault = append(f.Fault, Fault{Kind: "throttle", At: Span(at.Round(time.Millisecond)), For: f.Length / 2, Share: 1, Size: d.between(0.1, 0.6)})
+	at := f.WarmUp.Std() + time.Duration(d.Float64()*float64(f.Length.Std())/4)
+	f.Faults = append(f.Faults, Fault{Kind: "throttle", Start: Duration(at.Round(time.Millisecond)), Duration: f.Length / 2, Share: 1, Size: d.between(0.1, 0.6)})
 }
 
 // surroundings draws what happens to caches, list and origin.
@@ -146,11 +146,11 @@
 	x.Kind = d.one("deploy", "deploy", "kill", "drain", "reset", "lose", "slow", "list-silent", "list-late", "hot-key", "still", "error", "origin-slow")
 	switch x.Kind {
 	case "deploy":
-		x.Share, x.Batch, x.Down, x.For = d.between(0.3, 0.9), d.between(0.15, 0.4), d.span(300*time.Millisecond, 1500*time.Millisecond), 0
+		x.Share, x.Batch, x.Down, x.Duration = d.between(0.3, 0.9), d.between(0.15, 0.4), d.span(300*time.Millisecond, 1500*time.Millisecond), 0
 	case "kill", "drain":
 		x.Share = d.between(0.05, 0.4)
 	case "reset":
-		x.Share, x.For = d.between(0.1, 1), 0
+		x.Share, x.Duration = d.between(0.1, 1), 0
 	case "still":
 		x.Share = d.between(0.05, 0.3)
 	case "lose", "error":
--- a/lab/faults/faults.go
+++ b/lab/faults/faults.go
@@ -57,11 +57,11 @@
 
 // Run plays all faults and returns when the last is over.
 func (p *Player) Run() {
-	for n, f := range p.w.Exp.Fault {
+	for n, f := range p.w.Exp.Faults {
 		p.wait.Add(1)
 		go func() {
 			defer p.wait.Done()
-			if p.sleep(p.from + f.At.D() - p.w.Now()) {
+			if p.sleep(p.from + f.Start.Std() - p.w.Now()) {
 				p.play(uint64(n), f)
 			}
 		}()
@@ -126,8 +126,8 @@
 	for _, x := range of {
 		x.Set(func(x *world.Faults) { do(x, true) })
 	}
-	if f.For > 0 {
-		p.sleep(f.For.D())
+	if f.Duration > 0 {
+		p.sleep(f.Duration.Std())
 		for _, x := range of {
 			x.Set(func(x *world.Faults) { do(x, false) })
 		}
@@ -139,7 +139,7 @@
 	p.say(f.Kind)
 	switch f.Kind {
 	case "hot-key", "runaway", "hot-proxy", "impatient": // the load's own
-		if f.For > 0 && p.sleep(f.For.D()) {
+		if f.Duration > 0 && p.sleep(f.Duration.Std()) {
 			p.say(f.Kind + " is over")
 		}
 	case "grow":
@@ -155,13 +155,13 @@
 	case "origin-slow":
 		p.set(f, []*world.Faults{&p.w.Origin.Fault}, func(x *world.Faults, on bool) { x.Slow = pick(on, f.Size) })
 	case "origin-stop":
-		p.w.Origin.Stop(f.For.D())
+		p.w.Origin.Stop(f.Duration.Std())
 	case "list-late", "list-silent", "list-empty":
 		for i := range p.fleet.Count() {
 			p.fleet.Agent(i).Set(f.Kind == "list-silent", f.Kind == "list-empty", time.Duration(f.Size*float64(time.Second)))
 		}
-		if f.For > 0 {
-			p.sleep(f.For.D())
+		if f.Duration > 0 {
+			p.sleep(f.Duration.Std())
 			for i := range p.fleet.Count() {
 				p.fleet.Agent(i).Set(false, false, 0)
 			}
@@ -182,7 +182,7 @@
 		for _, i := range some {
 			p.fleet.Stall(i, true)
 		}
-		p.sleep(f.For.D())
+		p.sleep(f.Duration.Std())
 		for _, i := range some {
 			p.fleet.Stall(i, false)
 		}
@@ -193,7 +193,7 @@
 			all.Add(1)
 			go func() {
 				defer all.Done()
-				p.fleet.Throttle(i, f.Size, f.For.D())
+				p.fleet.Throttle(i, f.Size, f.Duration.Std())
 			}()
 		}
 		all.Wait()
@@ -204,8 +204,8 @@
 				p.fleet.Agent(i).Hide(p.w.Exp.Zone(f.Zone), on)
 			}
 		}
-		if hide(true); f.For > 0 {
-			p.sleep(f.For.D())
+		if hide(true); f.Duration > 0 {
+			p.sleep(f.Duration.Std())
 			hide(false)
 			p.say(f.Kind + " is over")
 		}
@@ -257,7 +257,7 @@
 		for _, c := range some {
 			c.Kill()
 		}
-		if f.For > 0 && p.sleep(f.For.D()) {
+		if f.Duration > 0 && p.sleep(f.Duration.Std()) {
 			for _, c := range some {
 				p.failed(c.Restart())
 			}
@@ -266,7 +266,7 @@
 	case "replace":
 		for _, c := range some {
 			c.Kill()
-			if p.sleep(f.Down.D()) {
+			if p.sleep(f.Down.Std()) {
 				_, err := p.w.Replace(c)
 				p.failed(err)
 			}
@@ -275,7 +275,7 @@
 		for _, c := range some {
 			c.Drain()
 		}
-		if f.For > 0 && p.sleep(f.For.D()) {
+		if f.Duration > 0 && p.sleep(f.Duration.Std()) {
 			for _, c := range some {
 				c.Kill()
 			}
@@ -288,7 +288,7 @@
 			for _, c := range wave {
 				c.Drain()
 			}
-			if !p.sleep(f.Down.D()) {
+			if !p.sleep(f.Down.Std()) {
 				return
 			}
 			for _, c := range wave {
@@ -296,14 +296,14 @@
 				_, err := p.w.Replace(c)
 				p.failed(err)
 			}
-			if !p.sleep(f.Down.D()) {
+			if !p.sleep(f.Down.Std()) {
 				return
 			}
 		}
 		p.say("deploy is over")
 	case "still":
 		for _, c := range some {
-			c.Still(f.For.D())
+			c.Still(f.Duration.Std())
 		}
 	case "reset":
 		for _, c := range some {
@@ -333,14 +333,14 @@
 	for _, i := range some {
 		p.failed(p.fleet.Away(i, true))
 	}
-	if p.sleep(min(f.For.D(), gone)); f.For.D() >= gone {
+	if p.sleep(min(f.Duration.Std(), gone)); f.Duration.Std() >= gone {
 		for _, i := range some {
 			if left := p.fleet.Idle(i); left > 0 {
 				p.failed(fmt.Errorf("proxy %d holds %d idle connections %v after clients were sent away", i, left, gone))
 			}
 		}
 	}
-	p.sleep(f.For.D() - gone)
+	p.sleep(f.Duration.Std() - gone)
 	for _, i := range some {
 		p.failed(p.fleet.Away(i, false))
 	}
@@ -358,7 +358,7 @@
 		}
 	}
 	call(true)
-	p.sleep(f.For.D())
+	p.sleep(f.Duration.Std())
 	call(false)
 	p.say(f.Kind + " is over")
 }
@@ -370,7 +370,7 @@
 	n, batch := p.fleet.Count(), max(int(f.Batch*float64(p.fleet.Count())+0.5), 1)
 	ways := []string{"term", "kill", "upgrade"}
 	var wait sync.WaitGroup
-	for at, until := 0, time.Now().Add(f.For.D()); time.Now().Before(until); {
+	for at, until := 0, time.Now().Add(f.Duration.Std()); time.Now().Before(until); {
 		for range batch {
 			i, way := at%n, f.By
 			if way == "mixed" {
@@ -393,7 +393,7 @@
 				default:
 					p.fleet.Term(i)
 				}
-				if p.sleep(f.Down.D()) {
+				if p.sleep(f.Down.Std()) {
 					p.failed(p.fleet.Start(i))
 				}
 			}()
@@ -413,7 +413,7 @@
 		all.Add(1)
 		go func() {
 			defer all.Done()
-			p.fleet.Crowd(i, int(f.Size), f.For.D())
+			p.fleet.Crowd(i, int(f.Size), f.Duration.Std())
 		}()
 	}
 	all.Wait()
@@ -450,7 +450,7 @@
 			}()
 		}
 		ended.Wait()
-		goesOn := p.sleep(f.Down.D())
+		goesOn := p.sleep(f.Down.Std())
 		for _, i := range wave {
 			if f.Kind != "proxy-upgrade" && goesOn {
 				p.failed(p.fleet.Start(i))
--- a/lab/faults/sites.go
+++ b/lab/faults/sites.go
@@ -16,7 +16,7 @@
 	caches, proxies := p.picked(0, experiment.Fault{Zone: f.Zone}), p.some(0, experiment.Fault{Zone: f.Zone})
 	back := func() {}
 	if f.Origin {
-		back = p.breaks(ways.Rule{Near: p.w.OriginEnd(), Far: ways.End{Site: ways.Any}, Out: true, In: true, Cut: true})
+		back = p.breaks(ways.Rule{Near: p.w.OriginEnd(), Far: ways.Endpoint{Site: ways.Any}, Out: true, In: true, Cut: true})
 	}
 	var ended sync.WaitGroup
 	for _, i := range proxies {
@@ -30,7 +30,7 @@
 		c.Kill()
 	}
 	ended.Wait()
-	p.sleep(f.For.D())
+	p.sleep(f.Duration.Std())
 	back()
 	if f.Share > 0 { // so many of its caches return
 		caches = world.Pick(p.w.Exp.Seed, 0, caches, 0, f.Share)
@@ -64,7 +64,7 @@
 	power[0]()
 	p.say(f.Kind + ", the first are back")
 	if f.By != "together" {
-		p.sleep(f.Down.D())
+		p.sleep(f.Down.Std())
 	}
 	power[1]()
 	for _, i := range proxies {
@@ -87,7 +87,7 @@
 // ways breaks what is between a zone and another, or all others, in the direction that the fault says.
 func (p *Player) ways(f experiment.Fault) {
 	x := p.w.Exp
-	r := ways.Rule{Near: ways.End{Site: x.Zone(f.Zone)}, Others: f.To == "", Far: ways.End{Site: x.Zone(f.To)},
+	r := ways.Rule{Near: ways.Endpoint{Site: x.Zone(f.Zone)}, Others: f.To == "", Far: ways.Endpoint{Site: x.Zone(f.To)},
 		Out: f.By != "in", In: f.By != "out"}
 	switch f.Kind {
 	case "site-cut":
@@ -102,8 +102,8 @@
 		r.Rate = f.Size * 1024
 	}
 	end := p.breaks(r)
-	if f.For > 0 {
-		p.sleep(f.For.D())
+	if f.Duration > 0 {
+		p.sleep(f.Duration.Std())
 		end()
 		p.say(f.Kind + " is over")
 	}
@@ -117,10 +117,10 @@
 	}
 	for _, out := range []bool{true, false} {
 		for i := range p.fleet.Count() {
-			p.failed(p.fleet.HandSite(i, f.Zone, numbers, out, f.Down.D()))
+			p.failed(p.fleet.HandSite(i, f.Zone, numbers, out, f.Down.Std()))
 		}
 		if out {
-			p.sleep(f.For.D())
+			p.sleep(f.Duration.Std())
 		}
 	}
 	p.say(f.Kind + " is over")
--- a/lab/load/arrivals.go
+++ b/lab/load/arrivals.go
@@ -39,11 +39,11 @@
 // New starts with an experiment's seed.
 func New(exp *experiment.File) *Arrivals {
 	a := &Arrivals{exp: exp, rnd: rand.New(rand.NewPCG(exp.Seed, 0x6d696e74))}
-	a.zipf = rand.NewZipf(a.rnd, exp.Keys.Zipf, 8, uint64(exp.Keys.Count-1))
-	for _, c := range exp.Category {
+	a.zipf = rand.NewZipf(a.rnd, exp.Keys.ZipfExponent, 8, uint64(exp.Keys.Count-1))
+	for _, c := range exp.Categories {
 		a.cats = append(a.cats, c.Share)
 	}
-	for _, t := range exp.Tenant {
+	for _, t := range exp.Tenants {
 		a.whose = append(a.whose, t.Share)
 	}
 	return a
@@ -59,26 +59,26 @@
 
 // KeyOf is the key of a rank of popularity at a moment: some ranks go to other keys as time passes.
 func KeyOf(exp *experiment.File, rank uint64, at time.Duration) uint64 {
-	if exp.Keys.Drift > 0 {
+	if exp.Keys.DriftPerSecond > 0 {
 		phase := float64(Mix(rank)>>11) / (1 << 53)
-		rank += uint64(float64(exp.Keys.Count)) * uint64(at.Seconds()*exp.Keys.Drift+phase)
+		rank += uint64(float64(exp.Keys.Count)) * uint64(at.Seconds()*exp.Keys.DriftPerSecond+phase)
 	}
 	return max(Mix(rank^exp.Seed<<32), 1)
 }
 
 func during(f experiment.Fault, at time.Duration) bool {
-	return at >= f.At.D() && (f.For == 0 || at < f.At.D()+f.For.D())
+	return at >= f.Start.Std() && (f.Duration == 0 || at < f.Start.Std()+f.Duration.Std())
 }
 
 // rate is ops a second at a moment.
 func (a *Arrivals) rate(at time.Duration) float64 {
 	r := a.exp.Load.Rate
-	for _, s := range a.exp.Load.Surge {
-		if at >= s.At.D() && at < s.At.D()+s.For.D() {
-			r *= s.Times
+	for _, s := range a.exp.Load.Surges {
+		if at >= s.Start.Std() && at < s.Start.Std()+s.Duration.Std() {
+			r *= s.Factor
 		}
 	}
-	for _, f := range a.exp.Fault {
+	for _, f := range a.exp.Faults {
 		if f.Kind == "runaway" && during(f, at) {
 			r += a.exp.Load.Rate * a.shareOf(f.Name) * (f.Size - 1)
 		}
@@ -88,7 +88,7 @@
 
 func (a *Arrivals) shareOf(tenant string) float64 {
 	sum, share := 0.0, 0.0
-	for _, t := range a.exp.Tenant {
+	for _, t := range a.exp.Tenants {
 		if sum += t.Share; t.Name == tenant {
 			share = t.Share
 		}
@@ -113,21 +113,21 @@
 // Next draws the next op; false: the run is over.
 func (a *Arrivals) Next() (Arrival, bool) {
 	a.now += time.Duration(-math.Log(1-a.rnd.Float64()) / a.rate(a.now) * float64(time.Second))
-	if a.now >= a.exp.Length.D() {
+	if a.now >= a.exp.Length.Std() {
 		return Arrival{}, false
 	}
 	a.n++
 	o := Arrival{Due: a.now, N: a.n, Category: a.choose(a.cats), Zone: a.rnd.IntN(len(a.exp.Zones.Names)),
-		Patience: a.exp.Clients.Patience, Heeds: a.rnd.Float64() < a.exp.Clients.Heed, Pick: a.rnd.Uint64()}
+		Patience: a.exp.Clients.TryTimeoutShare, Heeds: a.rnd.Float64() < a.exp.Clients.RetryAfterShare, Pick: a.rnd.Uint64()}
 	shares := append([]float64(nil), a.whose...)
 	rank, hot := a.zipf.Uint64(), a.rnd.Float64()
-	for _, f := range a.exp.Fault {
+	for _, f := range a.exp.Faults {
 		if !during(f, a.now) {
 			continue
 		}
 		switch f.Kind {
 		case "runaway":
-			for i, t := range a.exp.Tenant {
+			for i, t := range a.exp.Tenants {
 				if t.Name == f.Name {
 					shares[i] *= f.Size
 				}
@@ -140,12 +140,12 @@
 	}
 	o.Key = KeyOf(a.exp, rank, a.now)
 	o.Tenant = a.choose(shares)
-	for _, f := range a.exp.Fault {
-		if f.Kind == "impatient" && during(f, a.now) && (f.Name == "" || f.Name == a.exp.Tenant[o.Tenant].Name) {
+	for _, f := range a.exp.Faults {
+		if f.Kind == "impatient" && during(f, a.now) && (f.Name == "" || f.Name == a.exp.Tenants[o.Tenant].Name) {
 			o.Patience *= f.Size
 		}
 	}
-	if a.rnd.Float64() < a.exp.Clients.Leave {
+	if a.rnd.Float64() < a.exp.Clients.LeaveShare {
 		o.Leaves = 0.05 + 0.9*a.rnd.Float64()
 	}
 	return o, true
--- a/lab/load/front.go
+++ b/lab/load/front.go
@@ -16,7 +16,7 @@
 type Proxy struct {
 	Addr string
 	Zone int
-	Endpoint  ways.End
+	Endpoint  ways.Endpoint
 	Incarnation atomic.Uint32 // which of its processes serves now, over all proxies; 0: none does
 
 	mu   sync.Mutex
@@ -34,7 +34,7 @@
 	ConnsOpened  atomic.Int64
 	ConnsRefused atomic.Int64 // connections that a proxy's machine refused, or nobody answered
 
-	Links *ways.Table // between clients and proxies; nil: nothing is wrong with them
+	Links *ways.RuleTable // between clients and proxies; nil: nothing is wrong with them
 
 	exp *experiment.File
 }
@@ -115,7 +115,7 @@
 
 // pick chooses a proxy: one of the client's zone, unless it is known to be dead or sends clients away.
 func (f *Balancer) pick(zone int, chance uint64, at time.Duration) *Proxy {
-	for _, x := range f.exp.Fault {
+	for _, x := range f.exp.Faults {
 		if x.Kind == "hot-proxy" && during(x, at) && float64(Mix(chance)>>11)/(1<<53) < x.Size {
 			return f.Proxies[min(x.Count, len(f.Proxies)-1)]
 		}
@@ -123,7 +123,7 @@
 	var near, all []*Proxy
 	for _, p := range f.Proxies {
 		p.mu.Lock()
-		known := !p.died.IsZero() && time.Since(p.died) > f.exp.Front.Notice.D() ||
+		known := !p.died.IsZero() && time.Since(p.died) > f.exp.Balancer.DetectionDelay.Std() ||
 			!p.away.IsZero() && time.Since(p.away) > stillComing || p.closed() && !p.reachable()
 		p.mu.Unlock()
 		if known {
@@ -147,11 +147,11 @@
 var errClosed = errors.New("its process is ending")
 
 // near is a client's end of its ways.
-func near(zone int) ways.End { return ways.End{Site: zone, Name: "clients"} }
+func near(zone int) ways.Endpoint { return ways.Endpoint{Site: zone, Name: "clients"} }
 
 // broken tells whether something is wrong with the ways between a zone's clients and a proxy: then an answer in time may come late.
 func (f *Balancer) broken(zone int, p *Proxy) bool {
-	return f.Links != nil && f.Links.Broken(near(zone), p.Endpoint)
+	return f.Links != nil && f.Links.Faulty(near(zone), p.Endpoint)
 }
 
 // dial gives an idle connection from a zone to a proxy, or a new one.
--- a/lab/load/load.go
+++ b/lab/load/load.go
@@ -67,14 +67,14 @@
 
 // ask is one client's op, from its first try to its end.
 func (l *Load) ask(a Arrival, due time.Duration) {
-	c := l.exp.Category[a.Category]
+	c := l.exp.Categories[a.Category]
 	l.meter.Late(l.now() - due)
 	o := measure.Outcome{Due: a.Due, Category: a.Category, Tenant: a.Tenant}
-	end := due + c.TTL.D()
+	end := due + c.TTL.Std()
 	ran, first := false, due
 	for try := 0; try <= l.exp.Clients.Retries; try++ {
 		now := l.now()
-		wait := min(time.Duration(float64(c.TTL.D())*a.Patience), end-now)
+		wait := min(time.Duration(float64(c.TTL.Std())*a.Patience), end-now)
 		if wait < time.Millisecond {
 			break
 		}
@@ -101,12 +101,12 @@
 		default:
 			ran = true
 		}
-		if ran && (c.Effect == "at-most-once" || c.Effect == "deduplicated" && (c.Group != "all" || l.now() > first+c.Window.D())) {
+		if ran && (c.Effect == "at-most-once" || c.Effect == "deduplicated" && (c.DedupGroup != "all" || l.now() > first+c.DedupWindow.Std())) {
 			break
 		}
-		back := l.exp.Clients.Wait.D()
+		back := l.exp.Clients.RetryDelay.Std()
 		if got.back > 0 && a.Heeds {
-			back = min(got.back, l.exp.Rules.MaxComeBack.D())
+			back = min(got.back, l.exp.Rules.MaxRetryAfter.Std())
 		}
 		if l.now()+back >= end {
 			break
@@ -141,8 +141,8 @@
 	}
 	id := ID(a.N, try)
 	name := fmt.Sprintf("%016x", id)
-	props := fmt.Sprintf("c=%s,t=%s,d=%d", c.Name, l.exp.Tenant[a.Tenant].Name, max(wait.Milliseconds(), 1))
-	if l.exp.Clients.Marks && try > 0 {
+	props := fmt.Sprintf("c=%s,t=%s,d=%d", c.Name, l.exp.Tenants[a.Tenant].Name, max(wait.Milliseconds(), 1))
+	if l.exp.Clients.MarkRetries && try > 0 {
 		props += ",r=1"
 	}
 	key := fmt.Sprintf("%016x", a.Key)
@@ -161,7 +161,7 @@
 	}
 	age, again := p.Age()
 	l.book.Append(ledger.Record{Kind: ledger.OpSent, At: at, Op: id, A: nc.life, B: uint32(a.Category), C: uint32(wait / time.Microsecond)})
-	span := wait + l.exp.Rules.Slack.D()
+	span := wait + l.exp.Rules.Slack.Std()
 	if leave > 0 {
 		span = leave
 	}
@@ -172,7 +172,7 @@
 		if late := l.now() - at; late > wait && (broken || l.front.broken(a.Zone, p)) { // in time, as far as its proxy can know
 			l.book.Append(ledger.Record{Kind: ledger.ClientLeft, At: at + wait, Op: id})
 		}
-		l.meter.Try(age, again, c.Benefit, r.how == ledger.AnswerAcked && l.now()-at <= c.Target.D())
+		l.meter.Try(age, again, c.Benefit, r.how == ledger.AnswerAcked && l.now()-at <= c.Target.Std())
 		if r.how == ledger.AnswerAcked || r.how == ledger.AnswerNacked || r.how == ledger.AnswerDeadLettered {
 			l.front.back(nc)
 		}
--- a/lab/load/load_test.go
+++ b/lab/load/load_test.go
@@ -64,7 +64,7 @@
 		if count[quarter]++; quarter == 3 {
 			hot[o.Key]++
 		}
-		if o.Patience < x.Clients.Patience {
+		if o.Patience < x.Clients.TryTimeoutShare {
 			short[o.Tenant]++
 			if quarter > 0 {
 				t.Fatalf("impatient at %v", o.Due)
--- a/lab/measure/measure.go
+++ b/lab/measure/measure.go
@@ -134,10 +134,10 @@
 // NewMeter makes one.
 func NewMeter(exp *experiment.File) *Meter {
 	m := &Meter{exp: exp, all: &Part{Name: "all", hist: hist()}, late: hist()}
-	for _, c := range exp.Category {
+	for _, c := range exp.Categories {
 		m.cats = append(m.cats, &Part{Name: c.Name, hist: hist()})
 	}
-	for _, t := range exp.Tenant {
+	for _, t := range exp.Tenants {
 		m.tenants = append(m.tenants, &Part{Name: t.Name, hist: hist()})
 	}
 	return m
@@ -177,8 +177,8 @@
 func (m *Meter) Take(o Outcome) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	c := m.exp.Category[o.Category]
-	inTime := o.Acked && o.Span <= c.Target.D()
+	c := m.exp.Categories[o.Category]
+	inTime := o.Acked && o.Span <= c.Target.Std()
 	s := m.second(o.Due)
 	s.Ops++
 	s.Tries += o.Tries
@@ -200,7 +200,7 @@
 	if o.Acked {
 		s.hist.RecordValue(us)
 	}
-	if o.Due < m.exp.Warm.D() {
+	if o.Due < m.exp.WarmUp.Std() {
 		return
 	}
 	for _, p := range []*Part{m.all, m.cats[o.Category], m.tenants[o.Tenant]} {
@@ -263,11 +263,11 @@
 		}
 	}
 	f.SentWithin5ms = float64(within) / float64(max(m.late.TotalCount(), 1))
-	ops, last := 0, min(int(m.exp.Length.D()/time.Second), len(m.seconds))
+	ops, last := 0, min(int(m.exp.Length.Std()/time.Second), len(m.seconds))
 	for i, s := range m.seconds {
 		ops += s.Ops
 		s.P50, s.P99 = ms(s.hist.ValueAtQuantile(50)), ms(s.hist.ValueAtQuantile(99))
-		if from := int(m.exp.Warm.D() / time.Second); i >= from && i+10 <= last {
+		if from := int(m.exp.WarmUp.Std() / time.Second); i >= from && i+10 <= last {
 			asked, in := 0.0, 0.0
 			for _, t := range m.seconds[i : i+10] {
 				asked, in = asked+t.BenefitRequested, in+t.BenefitInTime
@@ -301,12 +301,12 @@
 		}
 		return in / max(asked, 1e-9)
 	}
-	first, last := x.Length.D(), time.Duration(0)
-	for _, f := range x.Fault {
-		first, last = min(first, f.At.D()), max(last, f.At.D()+f.For.D())
+	first, last := x.Length.Std(), time.Duration(0)
+	for _, f := range x.Faults {
+		first, last = min(first, f.Start.Std()), max(last, f.Start.Std()+f.Duration.Std())
 	}
-	from, to := int(x.Warm.D()/time.Second), min(int(first/time.Second), len(seconds))
-	if len(x.Fault) == 0 || to <= from {
+	from, to := int(x.WarmUp.Std()/time.Second), min(int(first/time.Second), len(seconds))
+	if len(x.Faults) == 0 || to <= from {
 		return 0
 	}
 	before := share(seconds[from:to])
--- a/lab/measure/measure_test.go
+++ b/lab/measure/measure_test.go
@@ -26,8 +26,8 @@
 }
 
 func TestBack(t *testing.T) {
-	span := func(s int) experiment.Span { return experiment.Span(time.Duration(s) * time.Second) }
-	fault := []experiment.Fault{{At: span(4), For: span(3)}}
+	span := func(s int) experiment.Duration { return experiment.Duration(time.Duration(s) * time.Second) }
+	fault := []experiment.Fault{{Start: span(4), Duration: span(3)}}
 	for _, c := range []struct {
 		name   string
 		faults []experiment.Fault
@@ -39,9 +39,9 @@
 		{"after two seconds", fault, "199911155999", 2},
 		{"a lucky second does not count", fault, "1999111919999", 2},
 		{"never", fault, "199911155555", -1},
-		{"a fault from the start: nothing to go by", []experiment.Fault{{At: span(0), For: span(3)}}, "111999", 0},
+		{"a fault from the start: nothing to go by", []experiment.Fault{{Start: span(0), Duration: span(3)}}, "111999", 0},
 	} {
-		x := &experiment.File{Length: span(len(c.served)), Warm: span(1), Fault: c.faults}
+		x := &experiment.File{Length: span(len(c.served)), WarmUp: span(1), Faults: c.faults}
 		var seconds []*Second
 		for _, n := range c.served {
 			seconds = append(seconds, &Second{BenefitRequested: 10, BenefitInTime: float64(n - '0')})
--- a/lab/run/fleet.go
+++ b/lab/run/fleet.go
@@ -244,9 +244,9 @@
 	p := f.procs[n]
 	f.mu.Unlock()
 	changed := *f.x
-	changed.Tenant = slices.Clone(f.x.Tenant)
-	for i := range changed.Tenant {
-		changed.Tenant[i].Quota *= quotas
+	changed.Tenants = slices.Clone(f.x.Tenants)
+	for i := range changed.Tenants {
+		changed.Tenants[i].Quota *= quotas
 	}
 	before := figures(p)["svc_reloads_ok"]
 	if _, err := configure(f.dir, &changed, n, f.proxies[n].Addr, f.agents[n].Addr, p.control, f.agents[n].List()); err != nil {
--- a/lab/run/forecast.go
+++ b/lab/run/forecast.go
@@ -19,23 +19,23 @@
 func Forecast(x *experiment.File) string {
 	var b strings.Builder
 	size := 0
-	for _, c := range x.Category {
+	for _, c := range x.Categories {
 		size = max(size, c.Size)
 	}
 	room := float64(int(x.Caches.MemoryMB * (1 << 20) / float64(size)))
 	const flat = 8 // of the lab's draw
-	d := site.Deployment{KeyCount: float64(x.Keys.Count), ZipfExponent: x.Keys.Zipf, ZipfOffset: flat}
+	d := site.Deployment{KeyCount: float64(x.Keys.Count), ZipfExponent: x.Keys.ZipfExponent, ZipfOffset: flat}
 	kept := d.TopKeysShare(room * float64(x.Caches.Count))
-	for _, c := range x.Category {
+	for _, c := range x.Categories {
 		if c.Write { // each voids the copies of its key, which the next read misses
 			kept *= 1 - c.Share
 		}
 	}
-	fmt.Fprintf(&b, "# %s, as a plan reads it\n[keys]\ncount = %d\nzipf = %v\nflat = %d\nhits = %.4f\n\n", x.Name, x.Keys.Count, x.Keys.Zipf, flat,
+	fmt.Fprintf(&b, "# %s, as a plan reads it\n[keys]\ncount = %d\nzipf = %v\nflat = %d\nhits = %.4f\n\n", x.Name, x.Keys.Count, x.Keys.ZipfExponent, flat,
 		kept)
-	fmt.Fprintf(&b, "[origin]\nsite = %q\nfetches = %.1f\nmiss_work = 0.125\n\n", x.Zones.Names[0], float64(x.Origin.Cores)/x.Origin.Work.D().Seconds())
-	fmt.Fprintf(&b, "[cold]\nfrom = %v\nwarm_up = %q\nfall_multiple = %v\ntip_after = %q\n\n", x.Caches.ColdFrom, x.Caches.WarmUp.D(), x.Rules.FallMultiple,
-		x.Rules.TipAfter.D())
+	fmt.Fprintf(&b, "[origin]\nsite = %q\nfetches = %.1f\nmiss_work = 0.125\n\n", x.Zones.Names[0], float64(x.Origin.Cores)/x.Origin.Work.Std().Seconds())
+	fmt.Fprintf(&b, "[cold]\nfrom = %v\nwarm_up = %q\nfall_multiple = %v\ntip_after = %q\n\n", x.Caches.ColdFrom, x.Caches.WarmUp.Std(), x.Rules.FallMultiple,
+		x.Rules.TipAfter.Std())
 	proxies := make([]int, len(x.Zones.Names))
 	for n := range x.Proxies.Count {
 		proxies[x.ZoneOf(n)]++
@@ -46,8 +46,8 @@
 	for n := range x.Caches.Count {
 		fmt.Fprintf(&b, "[[cache]]\nname = \"cache-%d\"\nsite = %q\ncores = %d\nkeys = %.0f\n\n", n+1, x.Zones.Names[n%len(x.Zones.Names)], x.Caches.Cores, room)
 	}
-	for _, c := range x.Category {
-		fmt.Fprintf(&b, "[[category]]\nname = %q\nshare = %v\nbenefit = %v\nwork = %q\nwrite = %v\n\n", c.Name, c.Share, c.Benefit, c.Work.D(), c.Write)
+	for _, c := range x.Categories {
+		fmt.Fprintf(&b, "[[category]]\nname = %q\nshare = %v\nbenefit = %v\nwork = %q\nwrite = %v\n\n", c.Name, c.Share, c.Benefit, c.Work.Std(), c.Write)
 	}
 	return b.String()
 }
@@ -62,14 +62,14 @@
 	}
 	t := tabwriter.NewWriter(out, 2, 4, 2, ' ', 0)
 	fmt.Fprintln(t, "loss\tphase\tserved, foretold\tseen\tfetches/s, foretold\tseen")
-	for _, f := range x.Fault {
+	for _, f := range x.Faults {
 		cut := f.Kind == "site-cut"
 		i := slices.IndexFunc(all, func(p site.Plan) bool { return p.Cut == cut && slices.Equal(p.Lost, []string{f.Zone}) })
 		if i < 0 || f.Kind != "site-lost" && !cut {
 			continue
 		}
-		from := f.At.D() + x.Front.Notice.D()
-		back := f.At.D() + f.For.D()
+		from := f.Start.Std() + x.Balancer.DetectionDelay.Std()
+		back := f.Start.Std() + f.Duration.Std()
 		for n, window := range [][2]time.Duration{{from, from + 2*time.Second}, {back - 3*time.Second, back}, {back, back + 3*time.Second}} {
 			if n == 1 && window[0] < from+2*time.Second { // too short a loss for anything to settle
 				continue
--- a/lab/run/run.go
+++ b/lab/run/run.go
@@ -86,7 +86,7 @@
 	} else {
 		select {
 		case <-played:
-		case <-time.After(longestStop + x.Length.D()):
+		case <-time.After(longestStop + x.Length.Std()):
 		}
 	}
 	vars := f.vars()
@@ -97,7 +97,7 @@
 	w.Close()
 	records, err := book.Close()
 	r := &report.Result{Name: x.Name, About: x.About, Seed: x.Seed, Rule: o.Rule, Stats: meter.Summarize(), LedgerRecords: records, PeakUsage: peak,
-		LengthSeconds: x.Length.D().Seconds(), WarmUpSeconds: x.Warm.D().Seconds(), ClientConnsOpened: front.ConnsOpened.Load(), ProxyCounters: vars, ClientConnsRefused: front.ConnsRefused.Load(), OriginFetches: w.Origin.Fetches.Load(), ListBytes: w.Reg.Bytes.Load()}
+		LengthSeconds: x.Length.Std().Seconds(), WarmUpSeconds: x.WarmUp.Std().Seconds(), ClientConnsOpened: front.ConnsOpened.Load(), ProxyCounters: vars, ClientConnsRefused: front.ConnsRefused.Load(), OriginFetches: w.Origin.Fetches.Load(), ListBytes: w.Reg.Bytes.Load()}
 	if err != nil {
 		r.InvalidReasons = append(r.InvalidReasons, "the ledger's disk: "+err.Error())
 	}
@@ -136,15 +136,15 @@
 		return nil, err
 	}
 	defer in.Close()
-	t := ledger.RuleParams{ServerZone: zones, DrainGrace: x.Rules.Grace.D(), OverloadFactor: x.Rules.FallMultiple, OverloadWindow: x.Rules.TipAfter.D(),
-		ColdCapacityShare: x.Caches.ColdFrom, WarmUp: x.Caches.WarmUp.D(), MaxPushes: x.Rules.MostPushes, AllowConcurrentPushes: x.Rules.TwoAtOnce,
-		Slack: x.Rules.Slack.D()}
-	for _, c := range x.Category {
-		held := x.Rules.Held.D()
+	t := ledger.RuleParams{ServerZone: zones, DrainGrace: x.Rules.Grace.Std(), OverloadFactor: x.Rules.FallMultiple, OverloadWindow: x.Rules.TipAfter.Std(),
+		ColdCapacityShare: x.Caches.ColdFrom, WarmUp: x.Caches.WarmUp.Std(), MaxPushes: x.Rules.MostPushes, AllowConcurrentPushes: x.Rules.TwoAtOnce,
+		Slack: x.Rules.Slack.Std()}
+	for _, c := range x.Categories {
+		held := x.Rules.Held.Std()
 		if held == 0 {
-			held = c.TTL.D() / 2
+			held = c.TTL.Std() / 2
 		}
-		t.Categories = append(t.Categories, ledger.Category{TTL: c.TTL.D(), DedupWindow: c.Window.D(), Effect: c.Effect, ZoneScopedDedup: c.Group == "zone",
+		t.Categories = append(t.Categories, ledger.Category{TTL: c.TTL.Std(), DedupWindow: c.DedupWindow.Std(), Effect: c.Effect, ZoneScopedDedup: c.DedupGroup == "zone",
 			MaxRefusalDelay: held})
 	}
 	j := ledger.NewJudge(t)
@@ -161,7 +161,7 @@
 		return
 	}
 	size := 0
-	for _, c := range x.Category {
+	for _, c := range x.Categories {
 		size = max(size, c.Size)
 	}
 	room := int(x.Caches.MemoryMB * (1 << 20) / float64(size))
--- a/lab/run/run_test.go
+++ b/lab/run/run_test.go
@@ -205,7 +205,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		x.Fault[0].By = by
+		x.Faults[0].By = by
 		r, _ := played(t, x, Options{Command: []string{daemon}, Rule: "minttray"})
 		v := r.Verdict
 		if !v.Passed() || !v.Complete || len(r.Crashes) > 0 || v.Answers["acked"] < 100 || len(r.Stats.RestartedByAge) == 0 {
--- a/lab/run/settings.go
+++ b/lab/run/settings.go
@@ -14,16 +14,16 @@
 
 type object = map[string]any
 
-func us(s experiment.Span) int64 { return int64(s.D() / time.Microsecond) }
+func us(s experiment.Duration) int64 { return int64(s.Std() / time.Microsecond) }
 
 // settings is the deployment as proxies are told it.
 func settings(x *experiment.File, n int) object {
 	categories, tenants := []object{}, []object{}
-	for _, c := range x.Category {
-		categories = append(categories, object{"name": c.Name, "benefit": c.Benefit, "effect": effects[c.Effect], "group": c.Group,
-			"dedup-window-us": us(c.Window), "target-latency-us": us(c.Target), "ttl-us": us(c.TTL)})
+	for _, c := range x.Categories {
+		categories = append(categories, object{"name": c.Name, "benefit": c.Benefit, "effect": effects[c.Effect], "group": c.DedupGroup,
+			"dedup-window-us": us(c.DedupWindow), "target-latency-us": us(c.Target), "ttl-us": us(c.TTL)})
 	}
-	for _, t := range x.Tenant {
+	for _, t := range x.Tenants {
 		quota := t.Quota
 		if quota == 0 {
 			quota = t.Share * x.Load.Rate * 1.2
@@ -32,13 +32,13 @@
 	}
 	return object{
 		"balancers": x.Proxies.Count, "beyond-share-benefit": 0.1, "categories": categories, "tenants": tenants,
-		"client-habits": object{"marks-retry": x.Clients.Marks},
+		"client-habits": object{"marks-retry": x.Clients.MarkRetries},
 		"contract": object{"cold-from": x.Caches.ColdFrom, "drain-grace-us": us(x.Rules.Grace), "fall-multiple": x.Rules.FallMultiple,
 			"tip-after-us": us(x.Rules.TipAfter), "warm-up-us": us(x.Caches.WarmUp)},
 		"deductions": object{"connection": 0.1, "handshake": 0.1}, "discovery": "push",
 		"family-info": object{"mode": x.Caches.Mode, "origin-kind": 2},
 		"limits": object{"cancelling": true, "conn-idle-us": 60_000_000, "connect-timeout-us": 100_000, "max-open": 20_000,
-			"max-retry-after-us": us(x.Rules.MaxComeBack), "most-pushes": x.Rules.MostPushes, "retry-after": true},
+			"max-retry-after-us": us(x.Rules.MaxRetryAfter), "most-pushes": x.Rules.MostPushes, "retry-after": true},
 		"zone": x.ZoneOf(n),
 		"skus": []string{"std", "small", "origin"}, "tick-us": 5000, "zones": x.Zones.Names,
 	}
--- a/lab/run/sites_test.go
+++ b/lab/run/sites_test.go
@@ -73,16 +73,16 @@
 					t.Fatal(err)
 				}
 				if name == "sent on" {
-					x.Category[0].Share, x.Category[2].Share = x.Category[2].Share, x.Category[0].Share
+					x.Categories[0].Share, x.Categories[2].Share = x.Categories[2].Share, x.Categories[0].Share
 					for n := range 20 {
-						x.Fault = append(x.Fault, experiment.Fault{Kind: "reset", Zone: "b", At: experiment.Span(time.Duration(n+1) * 500 * time.Millisecond)})
+						x.Faults = append(x.Faults, experiment.Fault{Kind: "reset", Zone: "b", Start: experiment.Duration(time.Duration(n+1) * 500 * time.Millisecond)})
 					}
 				}
 				if name == "for nobody" || name == "own deadline" { // clients that wait for long, and leave early
-					x.Fault = nil
-					for i := range x.Category {
-						c := &x.Category[i]
-						c.TTL, c.Target, c.Work = experiment.Span(4*time.Second), experiment.Span(3*time.Second), experiment.Span(500*time.Millisecond)
+					x.Faults = nil
+					for i := range x.Categories {
+						c := &x.Categories[i]
+						c.TTL, c.Target, c.Work = experiment.Duration(4*time.Second), experiment.Duration(3*time.Second), experiment.Duration(500*time.Millisecond)
 					}
 				}
 				o := Options{Command: []string{daemon}, Rule: rule}
--- a/lab/run/soak.go
+++ b/lab/run/soak.go
@@ -68,11 +68,11 @@
 
 func (r SoakRow) String() string {
 	var ttls []string
-	for _, c := range r.X.Category {
-		ttls = append(ttls, c.TTL.D().String())
+	for _, c := range r.X.Categories {
+		ttls = append(ttls, c.TTL.Std().String())
 	}
 	var kinds []string
-	for _, f := range r.X.Fault {
+	for _, f := range r.X.Faults {
 		kind := f.Kind
 		if f.Kind == "proxy-signals" {
 			kind = f.By
--- a/lab/run/soak_test.go
+++ b/lab/run/soak_test.go
@@ -57,15 +57,15 @@
 		if err := x.Check(); err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
 		}
-		if x.Caches != again.Caches || len(x.Fault) != len(again.Fault) || x.Fault[0] != again.Fault[0] {
+		if x.Caches != again.Caches || len(x.Faults) != len(again.Faults) || x.Faults[0] != again.Faults[0] {
 			t.Fatalf("seed %d differs", seed)
 		}
 		if x.Caches.Count >= 800 {
 			large++
 		}
 		fewest, most = min(fewest, x.Caches.Count), max(most, x.Caches.Count)
-		for _, c := range x.Category {
-			shortest, longest = min(shortest, c.TTL.D()), max(longest, c.TTL.D())
+		for _, c := range x.Categories {
+			shortest, longest = min(shortest, c.TTL.Std()), max(longest, c.TTL.Std())
 		}
 	}
 	if large < 30 || fewest > 5 || most < 3000 || shortest > 80*time.Millisecond || longest < 2500*time.Millisecond {
--- a/lab/ways/conn.go
+++ b/lab/ways/conn.go
@@ -16,8 +16,8 @@
 // Conn is the lab's end of a connection: what comes and goes passes the ways between far and near.
 type Conn struct {
 	net.Conn
-	t         *Table
-	far, near End
+	t         *RuleTable
+	far, near Endpoint
 	mute      bool // it came up, and never says or hears anything
 	in, out   pipe
 	over      chan struct{}
@@ -45,7 +45,7 @@
 }
 
 // Through has a connection pass the ways between its two ends.
-func (t *Table) Through(c net.Conn, far, near End) *Conn {
+func (t *RuleTable) Through(c net.Conn, far, near Endpoint) *Conn {
 	there, _ := t.is(far, near)
 	k := &Conn{Conn: c, t: t, far: far, near: near, mute: t.draw(there.Lose), over: make(chan struct{}), ended: make(chan struct{})}
 	for _, p := range []*pipe{&k.in, &k.out} {
@@ -80,7 +80,7 @@
 
 // wait is how long a piece stays on its way from now on; 0: it is out. cut: until the rules change, which they do by what
 // closes changed.
-func (k *Conn) wait(p *pipe, from, to End, h *held) (left time.Duration, cut bool, changed <-chan struct{}) {
+func (k *Conn) wait(p *pipe, from, to Endpoint, h *held) (left time.Duration, cut bool, changed <-chan struct{}) {
 	is, changed := k.t.is(from, to)
 	if is.Cut {
 		return 0, true, changed
@@ -258,7 +258,7 @@
 var ErrCut = errors.New("the way is cut")
 
 // Dial connects to another process, unless the way is cut for all the time that it may take.
-func (t *Table) Dial(near, far End, addr string, patience time.Duration) (net.Conn, error) {
+func (t *RuleTable) Dial(near, far Endpoint, addr string, patience time.Duration) (net.Conn, error) {
 	for late := time.After(patience); t.Cut(near, far); {
 		_, changed := t.is(near, far)
 		select {
--- a/lab/ways/listen.go
+++ b/lab/ways/listen.go
@@ -19,8 +19,8 @@
 // place long, fills it with connections of its own, and takes none off until the ways are whole again.
 type Listener struct {
 	*net.TCPListener
-	t         *Table
-	far, near End
+	t         *RuleTable
+	far, near Endpoint
 
 	mu    sync.Mutex
 	shut  bool
@@ -31,7 +31,7 @@
 }
 
 // Listen opens a listener at a loopback address for connections from far to near.
-func (t *Table) Listen(addr string, far, near End) (net.Listener, error) {
+func (t *RuleTable) Listen(addr string, far, near Endpoint) (net.Listener, error) {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, err
--- a/lab/ways/ways.go
+++ b/lab/ways/ways.go
@@ -13,8 +13,8 @@
 	"time"
 )
 
-// End is where a connection begins or ends: a place, and the process there.
-type End struct {
+// Endpoint is where a connection begins or ends: a place, and the process there.
+type Endpoint struct {
 	Site int    // its number; Any: none in particular
 	Name string // of the process; empty: each
 }
@@ -22,13 +22,13 @@
 // Any is each site.
 const Any = -1
 
-func (e End) holds(x End) bool {
+func (e Endpoint) holds(x Endpoint) bool {
 	return (e.Site == Any || e.Site == x.Site) && (e.Name == "" || e.Name == x.Name)
 }
 
 // Rule is what is wrong with all ways between two ends. It holds for connections whoever opens them.
 type Rule struct {
-	Near, Far End
+	Near, Far Endpoint
 	Others    bool          // Far is each site but that of Near
 	Out, In   bool          // from Near to Far, from Far to Near
 	Cut       bool          // nothing comes through
@@ -38,13 +38,13 @@
 	Reset     float64       // share of connections that are reset, the open ones at once and new ones as they come
 }
 
-func (r *Rule) holds(from, to End) bool {
-	far := func(e End) bool { return r.Others && e.Site != r.Near.Site || !r.Others && r.Far.holds(e) }
+func (r *Rule) holds(from, to Endpoint) bool {
+	far := func(e Endpoint) bool { return r.Others && e.Site != r.Near.Site || !r.Others && r.Far.holds(e) }
 	return r.Out && r.Near.holds(from) && far(to) || r.In && r.Near.holds(to) && far(from)
 }
 
-// Table is all rules of a run. Its methods may be called from any goroutine.
-type Table struct {
+// RuleTable is all rules of a run. Its methods may be called from any goroutine.
+type RuleTable struct {
 	mu      sync.Mutex
 	rules   []*Rule
 	rnd     *rand.Rand
@@ -56,19 +56,19 @@
 type changes interface{ ruled(put *Rule) }
 
 // New makes a table without rules. What is drawn hangs on the seed and on the order of connections.
-func New(seed uint64) *Table {
-	return &Table{rnd: rand.New(rand.NewPCG(seed, 0x77617973)), changed: make(chan struct{}), seen: map[changes]bool{}}
+func New(seed uint64) *RuleTable {
+	return &RuleTable{rnd: rand.New(rand.NewPCG(seed, 0x77617973)), changed: make(chan struct{}), seen: map[changes]bool{}}
 }
 
 // Put adds a rule until the function that it gives is called.
-func (t *Table) Put(r Rule) (end func()) {
+func (t *RuleTable) Put(r Rule) (end func()) {
 	t.change(func() { t.rules = append(t.rules, &r) }, &r)
 	return func() {
 		t.change(func() { t.rules = slices.DeleteFunc(t.rules, func(x *Rule) bool { return x == &r }) }, nil)
 	}
 }
 
-func (t *Table) change(do func(), put *Rule) {
+func (t *RuleTable) change(do func(), put *Rule) {
 	t.mu.Lock()
 	do()
 	close(t.changed)
@@ -89,7 +89,7 @@
 	told.Wait()
 }
 
-func (t *Table) follow(c changes, on bool) {
+func (t *RuleTable) follow(c changes, on bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if on {
@@ -100,7 +100,7 @@
 }
 
 // is sums what is wrong in one direction now; changed is closed once it may be otherwise.
-func (t *Table) is(from, to End) (sum Rule, changed <-chan struct{}) {
+func (t *RuleTable) is(from, to Endpoint) (sum Rule, changed <-chan struct{}) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, r := range t.rules {
@@ -117,20 +117,20 @@
 }
 
 // Cut tells whether a connection from one end to the other can't come up now: either direction is enough.
-func (t *Table) Cut(from, to End) bool {
+func (t *RuleTable) Cut(from, to Endpoint) bool {
 	there, _ := t.is(from, to)
 	back, _ := t.is(to, from)
 	return there.Cut || back.Cut
 }
 
-// Broken tells whether anything is wrong between two ends.
-func (t *Table) Broken(a, b End) bool {
+// Faulty tells whether anything is wrong between two ends.
+func (t *RuleTable) Faulty(a, b Endpoint) bool {
 	there, _ := t.is(a, b)
 	back, _ := t.is(b, a)
 	return there != Rule{} || back != Rule{}
 }
 
-func (t *Table) draw(share float64) bool {
+func (t *RuleTable) draw(share float64) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return share > 0 && t.rnd.Float64() < share
--- a/lab/ways/ways_test.go
+++ b/lab/ways/ways_test.go
@@ -9,10 +9,10 @@
 	"time"
 )
 
-var client, server = End{0, "p"}, End{1, "s"}
+var client, server = Endpoint{0, "p"}, Endpoint{1, "s"}
 
 // echo answers each line.
-func echo(t *testing.T, w *Table) string {
+func echo(t *testing.T, w *RuleTable) string {
 	l, err := w.Listen("127.0.0.1:0", client, server)
 	if err != nil {
 		t.Fatal(err)
@@ -43,7 +43,7 @@
 const soon, short = 5 * time.Second, 100 * time.Millisecond
 
 func TestRules(t *testing.T) {
-	rule := func(near, far End, r Rule) Rule {
+	rule := func(near, far Endpoint, r Rule) Rule {
 		r.Near, r.Far, r.Out = near, far, true
 		return r
 	}
@@ -53,9 +53,9 @@
 		rule       Rule
 		open, anew bool // an open connection is answered, a new one comes up
 	}{
-		{"there", rule(End{0, ""}, End{1, ""}, cut), false, false}, {"back", rule(server, client, cut), false, false},
-		{"into the site", Rule{Near: End{0, ""}, Others: true, In: true, Cut: true}, false, false},
-		{"another site", Rule{Near: End{2, ""}, Others: true, Out: true, In: true, Cut: true}, true, true},
+		{"there", rule(Endpoint{0, ""}, Endpoint{1, ""}, cut), false, false}, {"back", rule(server, client, cut), false, false},
+		{"into the site", Rule{Near: Endpoint{0, ""}, Others: true, In: true, Cut: true}, false, false},
+		{"another site", Rule{Near: Endpoint{2, ""}, Others: true, Out: true, In: true, Cut: true}, true, true},
 		{"slow", rule(client, server, Rule{Delay: 3 * short}), false, true},
 		{"thin", rule(client, server, Rule{Rate: 10}), false, true},
 		{"silent", rule(client, server, Rule{Lose: 1}), true, false},
--- a/lab/world/cache.go
+++ b/lab/world/cache.go
@@ -99,7 +99,7 @@
 	if started < 0 {
 		return 1
 	}
-	return min(x.ColdFrom+(1-x.ColdFrom)*float64(c.w.Now()-started)/float64(max(x.WarmUp.D(), 1)), 1)
+	return min(x.ColdFrom+(1-x.ColdFrom)*float64(c.w.Now()-started)/float64(max(x.WarmUp.Std(), 1)), 1)
 }
 
 // up starts the process: its listeners, its name in the list.
@@ -123,7 +123,7 @@
 			addr = c.addrs[n]
 		}
 		l, err := c.w.listenAgain(addr, func(addr string) (net.Listener, error) {
-			return c.w.listen(addr, d, ways.End{Site: c.Zone, Name: c.Name})
+			return c.w.listen(addr, d, ways.Endpoint{Site: c.Zone, Name: c.Name})
 		})
 		if err != nil {
 			c.mu.Unlock()
@@ -236,7 +236,7 @@
 		}
 		c.conns[k] = true
 		c.mu.Unlock()
-		if work := c.w.Exp.Caches.Handshake.D(); work > 0 {
+		if work := c.w.Exp.Caches.Handshake.Std(); work > 0 {
 			c.station.offer(&job{work: work, done: func() {}})
 		}
 		go k.write()
--- a/lab/world/origin.go
+++ b/lab/world/origin.go
@@ -67,7 +67,7 @@
 // fetch is a cache's own, in the mode through.
 func (o *Origin) fetch(op uint64, done func(ok bool)) bool {
 	o.Fetches.Add(1)
-	return o.station.offer(&job{work: o.w.work(o.w.Exp.Origin.Work.D(), op, 0), done: func() { done(true) }})
+	return o.station.offer(&job{work: o.w.work(o.w.Exp.Origin.Work.Std(), op, 0), done: func() { done(true) }})
 }
 
 func (o *Origin) serve(out http.ResponseWriter, r *http.Request) {
@@ -92,7 +92,7 @@
 		sent = o.w.sent(c)
 	}
 	number := o.w.conn() // one push is out on a connection at a time: a number for each tells them apart
-	work := o.w.work(o.w.Exp.Origin.Work.D(), op, 0)
+	work := o.w.work(o.w.Exp.Origin.Work.Std(), op, 0)
 	o.w.push(ledger.Record{At: sent, Op: op, B: number, C: uint32(work / time.Microsecond)}, props)
 	over := func(how uint32) {
 		o.w.Book.Append(ledger.Record{Kind: ledger.PushEnded, At: o.w.Now(), Op: op, B: number, C: how})
--- a/lab/world/registry.go
+++ b/lab/world/registry.go
@@ -92,7 +92,7 @@
 		a.mu.Lock()
 		late := a.late
 		a.mu.Unlock()
-		span := time.Duration(float64(r.w.Exp.List.Late.D()+late) * (0.5 + 0.5*r.w.draw(uint64(c.Number), uint32(i), fmt.Sprint("late", e.version))))
+		span := time.Duration(float64(r.w.Exp.List.Late.Std()+late) * (0.5 + 0.5*r.w.draw(uint64(c.Number), uint32(i), fmt.Sprint("late", e.version))))
 		time.AfterFunc(span, func() { a.hear(e) })
 	}
 }
@@ -135,7 +135,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.news = append(a.news, e)
-	switch every := a.reg.w.Exp.List.Every.D(); {
+	switch every := a.reg.w.Exp.List.Every.Std(); {
 	case every == 0:
 		a.publish()
 	case len(a.news) == 1:
--- a/lab/world/serve.go
+++ b/lab/world/serve.go
@@ -45,7 +45,7 @@
 	r.op = Number(r.id)
 	props := words(string(cmd.Args[3]))
 	r.category = c.w.category(props["c"])
-	work := c.w.work(r.category.Work.D(), r.op, c.Number)
+	work := c.w.work(r.category.Work.Std(), r.op, c.Number)
 	k.mu.Lock()
 	k.open[r.op] = true
 	k.mu.Unlock()
@@ -123,7 +123,7 @@
 			m.(*missing).mu.Lock()
 			m.(*missing).caches = append(m.(*missing).caches, c)
 			m.(*missing).mu.Unlock()
-			time.AfterFunc(r.category.TTL.D(), func() { c.w.missed.Delete(r.id) })
+			time.AfterFunc(r.category.TTL.Std(), func() { c.w.missed.Delete(r.id) })
 		}
 		r.place.over(r.op, ledger.EndMissed, r.answer, "*3\r\n$-1\r\n$4\r\nmiss\r\n$"+bulk(c.load())+"\r\n")
 	default: // through: it fetches by itself
@@ -165,7 +165,7 @@
 	running, waiting := c.station.load()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if time.Since(c.reported) > c.w.Exp.Caches.ReportEvery.D() {
+	if time.Since(c.reported) > c.w.Exp.Caches.ReportEvery.Std() {
 		c.reported = time.Now()
 		c.report = fmt.Sprintf("inflight=%d,queue=%d", running, waiting)
 	}
@@ -174,25 +174,25 @@
 
 // category finds one by its name; an unknown name is the first.
 func (w *World) category(name string) experiment.Category {
-	for _, c := range w.Exp.Category {
+	for _, c := range w.Exp.Categories {
 		if c.Name == name {
 			return c
 		}
 	}
-	return w.Exp.Category[0]
+	return w.Exp.Categories[0]
 }
 
 // effect carries a write out, but for a repeat of a deduplicated one that its group still remembers.
 func (w *World) effect(r request, server uint32, zone int) {
 	if r.category.Effect == "deduplicated" {
 		group := r.id
-		if r.category.Group == "zone" {
+		if r.category.DedupGroup == "zone" {
 			group = fmt.Sprint(r.id, "/", zone)
 		}
 		if _, again := w.repeat.LoadOrStore(group, true); again {
 			return
 		}
-		time.AfterFunc(r.category.Window.D(), func() { w.repeat.Delete(group) })
+		time.AfterFunc(r.category.DedupWindow.Std(), func() { w.repeat.Delete(group) })
 	}
 	w.Book.Append(ledger.Record{Kind: ledger.WriteApplied, At: w.Now(), Op: r.op, A: server})
 }
--- a/lab/world/world.go
+++ b/lab/world/world.go
@@ -25,7 +25,7 @@
 	Origin *Origin
 	Reg    *Registry
 
-	Ways *ways.Table // nil: nothing is ever wrong between two processes, and nothing stands in between
+	Ways *ways.RuleTable // nil: nothing is ever wrong between two processes, and nothing stands in between
 
 	block  int // of its addresses
 	start  time.Time
@@ -136,7 +136,7 @@
 	if a == b {
 		return 0
 	}
-	return w.Exp.Zones.Delay.D()
+	return w.Exp.Zones.Delay.Std()
 }
 
 // draw is a figure from 0 to 1 that hangs on the op and the place alone, so that the same seed gives the same.
@@ -172,7 +172,7 @@
 // door is where some proxies reach a server: each zone has one, or each proxy where ways between two processes may break.
 type door struct {
 	zone int
-	from ways.End
+	from ways.Endpoint
 }
 
 func (w *World) doors() (all []door) {
@@ -197,16 +197,16 @@
 }
 
 // Proxy is a proxy's end of its ways.
-func (w *World) Proxy(n int) ways.End {
-	return ways.End{Site: w.Exp.ZoneOf(n), Name: fmt.Sprintf("proxy-%d", n)}
+func (w *World) Proxy(n int) ways.Endpoint {
+	return ways.Endpoint{Site: w.Exp.ZoneOf(n), Name: fmt.Sprintf("proxy-%d", n)}
 }
 
 // Origin's and the list's ends of their ways; the list has a replica in each site.
-func (w *World) OriginEnd() ways.End       { return ways.End{Name: "origin"} }
-func (w *World) listEnd(site int) ways.End { return ways.End{Site: site, Name: "list"} }
+func (w *World) OriginEnd() ways.Endpoint       { return ways.Endpoint{Name: "origin"} }
+func (w *World) listEnd(site int) ways.Endpoint { return ways.Endpoint{Site: site, Name: "list"} }
 
 // listen opens a listener on a loopback address of its own, for those who come through a door.
-func (w *World) listen(addr string, d door, near ways.End) (net.Listener, error) {
+func (w *World) listen(addr string, d door, near ways.Endpoint) (net.Listener, error) {
 	if w.Ways == nil {
 		return net.Listen("tcp", addr)
 	}
--- a/lab/world/world_test.go
+++ b/lab/world/world_test.go
@@ -103,7 +103,7 @@
 	for mode, want := range map[string][2]int{"all": {0, 0}, "queued": {1, 0}, "none": {1, 1}} {
 		w, done := stand(t, "caches.cancel=\""+mode+"\"", "caches.mode=\"through\"")
 		c := w.Caches()[0]
-		w.Exp.Category[0].Work = experiment.Span(time.Hour)
+		w.Exp.Categories[0].Work = experiment.Duration(time.Hour)
 		nc, _ := dial(t, c)
 		io.WriteString(nc, get("aa", "01")+get("ab", "02")) // the second waits behind the first
 		until(t, "one runs, one waits", func() bool { r, q := c.station.load(); return r == 1 && q == 1 })
