--- a/cmd/minttray/main.go
+++ b/cmd/minttray/main.go
@@ -77,18 +77,18 @@
 			short := ""
 			for _, l := range losses {
 				p := d.For(l)
-				if plans = append(plans, p); !plan.Borne(p) && short == "" {
+				if plans = append(plans, p); !plan.FullyServed(p) && short == "" {
 					for _, f := range p.Phases {
-						if len(f.Short) > 0 {
-							short = plan.Name(p) + ", " + f.Name + ": " + f.Short[0]
+						if len(f.Shortages) > 0 {
+							short = plan.Title(p) + ", " + f.Name + ": " + f.Shortages[0]
 						}
 					}
 				}
 			}
 			if asJSON {
-				err = plan.JSON(cmd.OutOrStdout(), plans)
+				err = plan.WriteJSON(cmd.OutOrStdout(), plans)
 			} else {
-				plan.Write(cmd.OutOrStdout(), d, plans)
+				plan.WriteText(cmd.OutOrStdout(), d, plans)
 			}
 			if err == nil && short != "" {
 				err = fmt.Errorf("%w: %s", errShort, short)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,4 +1,4 @@
-// Package config holds what a proxy is told at its start: environment and JSON file.
+// Package config reads the configuration of a proxy from its environment and a JSON file.
 package config
 
 import (
@@ -14,20 +14,24 @@
 	"minttray/policy"
 )
 
-// Config is one proxy's configuration.
+// Config is the configuration of a proxy.
 type Config struct {
-	Name, Listen, Discovery string
-	Control                 string // where operators call; empty: nowhere
-	Seed                    uint64
-	Cores                   float64
-	MemoryMB, Sockets       int
-	Known                   json.RawMessage // the list as last had, in discovery's form
-	Settings                settings.Settings
+	Name      string
+	Listen    string // address for clients, host:port
+	Discovery string // address of the discovery service, host:port
+	Control   string // address for operators' calls, host:port; empty: none
+	Seed      uint64
+	Cores     float64         // limit of CPU cores; 0: none
+	MemoryMB  int             // limit of memory; 0: none
+	Sockets   int             // limit of open sockets
+	Known     json.RawMessage // last known cache list, in the format of discovery
+	Settings  settings.Settings
 
 	text     []byte // of the file
-	settings []byte
+	settings []byte // text of its settings object
 }
 
+// file is the JSON form of a configuration file.
 type file struct {
 	Name      string `json:"name"`
 	Listen    string `json:"listen"`
@@ -43,16 +47,20 @@
 	Settings json.RawMessage `json:"settings"`
 }
 
-// Fields names what a file holds beside the settings.
+// Fields returns the names of a file's fields other than the settings, those of nested objects as paths joined by dots.
 func Fields() []string {
-	return slices.DeleteFunc(settings.Names(reflect.TypeFor[file]()), func(name string) bool { return name == "settings" })
+	return slices.DeleteFunc(settings.FieldNames(reflect.TypeFor[file]()), func(name string) bool { return name == "settings" })
 }
 
-const mostAsk = policy.Time(8 * 10000) // 8 s, twice what is left of those 6 for a call that is answered late
+// maxAskEvery is the longest interval between two requests to discovery: 8 s. A change of the list must reach a proxy within
+// 6 s. A request that is answered late uses up to 2 s of these, and the next one follows a failed one within half of the
+// interval.
+const maxAskEvery = policy.Time(8 * 10000)
 
-const leastSockets = 64 // listener, runtime, discovery, and a few for each side
+// minSockets leaves room for the listener, the runtime, discovery, and a few connections to clients and to caches.
+const minSockets = 64
 
-// Load reads the environment through get and the file that it names. Each error names the field.
+// Load reads the configuration from the environment, through get, and the file that it names. Errors name the field.
 func Load(get func(string) string) (Config, error) {
 	var c Config
 	path := get("BALANCER_CONFIG")
@@ -66,7 +74,7 @@
 	return Parse(path, text, get)
 }
 
-// Parse takes the text of a configuration file; path is what errors call it.
+// Parse decodes and checks the text of a configuration file, with the environment read through get. The path appears in errors.
 func Parse(path string, text []byte, get func(string) string) (Config, error) {
 	var c Config
 	var err error
@@ -75,32 +83,33 @@
 		return c, fmt.Errorf("BALANCER_CONFIG: %s: %w", path, err)
 	}
 	for _, field := range []struct {
-		name, variable string
-		in             string
-		out            *string
+		name     string
+		variable string // of the environment
+		inFile   string // value in the file
+		target   *string
 	}{
 		{"name", "BALANCER_NAME", f.Name, &c.Name},
 		{"listen", "BALANCER_LISTEN", f.Listen, &c.Listen},
 		{"discovery", "BALANCER_DISCOVERY", f.Discovery, &c.Discovery},
 		{"control", "BALANCER_CONTROL", f.Control, &c.Control},
 	} {
-		told := get(field.variable)
-		// Only the file can be replaced while the proxy runs, and after a reload and a restart the variable may
-		// still hold where discovery was: there the file counts.
-		if told != "" && field.in != "" && told != field.in && field.name != "discovery" && field.name != "control" {
-			return c, fmt.Errorf("%s: the file says %q, %s says %q", field.name, field.in, field.variable, told)
+		inEnvironment := get(field.variable)
+		// Only the file can change while the proxy runs. After a reload and a restart the variable may still hold the former
+		// address of discovery or control, so for these two the file takes precedence.
+		if inEnvironment != "" && field.inFile != "" && inEnvironment != field.inFile && field.name != "discovery" && field.name != "control" {
+			return c, fmt.Errorf("%s: the file says %q, %s says %q", field.name, field.inFile, field.variable, inEnvironment)
 		}
-		if *field.out = field.in; field.in == "" {
-			*field.out = told
+		if *field.target = field.inFile; field.inFile == "" {
+			*field.target = inEnvironment
 		}
-		if *field.out == "" && field.name == "control" {
+		if *field.target == "" && field.name == "control" {
 			continue
 		}
-		if *field.out == "" {
+		if *field.target == "" {
 			return c, fmt.Errorf("%s: missing", field.name)
 		}
 		if field.name != "name" {
-			if _, _, err := net.SplitHostPort(*field.out); err != nil {
+			if _, _, err := net.SplitHostPort(*field.target); err != nil {
 				return c, fmt.Errorf("%s: %w", field.name, err)
 			}
 		}
@@ -114,8 +123,8 @@
 		return c, fmt.Errorf("limits.cores: %v is below 0", c.Cores)
 	case c.MemoryMB < 0:
 		return c, fmt.Errorf("limits.memory_mb: %d is below 0", c.MemoryMB)
-	case c.Sockets < leastSockets:
-		return c, fmt.Errorf("limits.sockets: %d is below %d", c.Sockets, leastSockets)
+	case c.Sockets < minSockets:
+		return c, fmt.Errorf("limits.sockets: %d is below %d", c.Sockets, minSockets)
 	case len(f.Settings) == 0:
 		return c, fmt.Errorf("settings: missing")
 	}
@@ -123,56 +132,55 @@
 	if c.Settings, err = settings.Decode(f.Settings); err != nil {
 		return c, err
 	}
-	// Danger: on sockets news counts as told after 6 s, whatever the settings say of how often to ask, and a call that failed is
-	// followed by the next within half of that time.
-	if every := &c.Settings.Policy.AskEvery; *every == 0 || *every > mostAsk { // 0: not told, and no span to ask again in
-		*every = mostAsk
+	// 0 means that the settings name no interval.
+	if interval := &c.Settings.Policy.AskEvery; *interval == 0 || *interval > maxAskEvery {
+		*interval = maxAskEvery
 	}
 	c.text, c.settings = text, f.Settings
 	return c, nil
 }
 
-// Reload reads the file anew, as whole as at the start, and gives what is in force from then on. Discovery and settings can
-// change while a proxy runs; which other fields differ, and so wait for a restart, is told by name. With an error, what is
-// in force stands, whole.
-func (c Config) Reload(get func(string) string) (now Config, waiting []string, err error) {
-	n, err := Load(get)
+// Reload reads and checks the file again and returns the configuration that applies from then on. Discovery and settings can
+// change in a running proxy; waiting names the other fields that differ and need a restart. With an error, the configuration is
+// unchanged.
+func (c Config) Reload(get func(string) string) (reloaded Config, waiting []string, err error) {
+	update, err := Load(get)
 	if err != nil {
 		return c, nil, err
 	}
-	if err := c.short(n); err != nil {
+	if err := c.checkComplete(update); err != nil {
 		return c, nil, err
 	}
-	now = c
-	if now.Settings, waiting, err = settings.Join(c.Settings, n.Settings); err != nil {
+	reloaded = c
+	if reloaded.Settings, waiting, err = settings.Join(c.Settings, update.Settings); err != nil {
 		return c, nil, err
 	}
 	for _, field := range []struct {
 		name string
 		same bool
 	}{
-		{"name", n.Name == c.Name},
-		{"listen", n.Listen == c.Listen},
-		{"limits", n.Cores == c.Cores && n.MemoryMB == c.MemoryMB && n.Sockets == c.Sockets},
+		{"name", update.Name == c.Name},
+		{"listen", update.Listen == c.Listen},
+		{"limits", update.Cores == c.Cores && update.MemoryMB == c.MemoryMB && update.Sockets == c.Sockets},
 	} {
 		if !field.same {
 			waiting = append(waiting, field.name)
 		}
 	}
-	now.Discovery, now.text, now.settings = n.Discovery, n.text, n.settings
-	return now, waiting, nil // seed, known and control are for the start alone
+	reloaded.Discovery, reloaded.text, reloaded.settings = update.Discovery, update.text, update.settings
+	return reloaded, waiting, nil // seed, known and control apply at the start only
 }
 
-// short finds a field that the file in force has and the new one lacks.
-func (c Config) short(n Config) error {
-	var was, is map[string]json.RawMessage
-	if json.Unmarshal(c.text, &was) != nil || json.Unmarshal(n.text, &is) != nil {
+// checkComplete returns an error that names a field that the update lacks.
+func (c Config) checkComplete(update Config) error {
+	var oldFields, newFields map[string]json.RawMessage
+	if json.Unmarshal(c.text, &oldFields) != nil || json.Unmarshal(update.text, &newFields) != nil {
 		return fmt.Errorf("BALANCER_CONFIG: not an object")
 	}
-	for name := range was {
-		if _, ok := is[name]; !ok && name != "known" && name != "control" {
+	for name := range oldFields {
+		if _, ok := newFields[name]; !ok && name != "known" && name != "control" {
 			return fmt.Errorf("%s: missing", name)
 		}
 	}
-	return settings.Short(c.settings, n.settings)
+	return settings.CheckComplete(c.settings, update.settings)
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -10,12 +10,13 @@
 	"time"
 )
 
-const good = `{"name":"n3","listen":"127.0.0.4:6379","discovery":"127.2.0.1:8500","seed":"8c1f30d27a5be964",
+const validFile = `{"name":"n3","listen":"127.0.0.4:6379","discovery":"127.2.0.1:8500","seed":"8c1f30d27a5be964",
 "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"known":{"generation":41,"reset":true,"instances":[]},
 "settings":{"balancers":3,"categories":[{"name":"read","benefit":2,"effect":"read_like","target-latency-us":300000,
 "ttl-us":900000}],"limits":{"conn-idle-us":60000000,"connect-timeout-us":100000,"max-open":20000},
 "skus":["box","origin"],"tenants":[{"name":"acme","quota-rps":9}],"zones":["a","b"]}}`
 
+// load writes text to a file and loads it with the environment.
 func load(t *testing.T, text string, env map[string]string) (Config, error) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -31,7 +32,7 @@
 }
 
 func TestLoad(t *testing.T) {
-	c, err := load(t, good, map[string]string{"BALANCER_NAME": "n3"})
+	c, err := load(t, validFile, map[string]string{"BALANCER_NAME": "n3"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -44,17 +45,17 @@
 		s.ConnectTimeout != 100*time.Millisecond || s.IdleServer != time.Minute || s.MaxOpen != 20000 {
 		t.Errorf("%+v", s)
 	}
-	unnamed := strings.Replace(good, `"name":"n3",`, "", 1)
-	if c, err = load(t, unnamed, map[string]string{"BALANCER_NAME": "n4"}); err != nil || c.Name != "n4" {
+	withoutName := strings.Replace(validFile, `"name":"n3",`, "", 1)
+	if c, err = load(t, withoutName, map[string]string{"BALANCER_NAME": "n4"}); err != nil || c.Name != "n4" {
 		t.Errorf("%+v, %v", c, err)
 	}
 }
 
-// Each fault is told by one line that names the field.
+// Guards against errors that span several lines or don't begin with the name of the field.
 func TestFaults(t *testing.T) {
 	for _, c := range []struct{ old, new, want string }{
-		{good, "", "BALANCER_CONFIG: "},
-		{good, "{", "BALANCER_CONFIG: "},
+		{validFile, "", "BALANCER_CONFIG: "},
+		{validFile, "{", "BALANCER_CONFIG: "},
 		{`"n3"`, `7`, "BALANCER_CONFIG: "},
 		{`"n3"`, `"n5"`, "name: "},
 		{`"127.0.0.4:6379"`, `"127.0.0.4"`, "listen: "},
@@ -83,19 +84,20 @@
 		{`"categories":[{"name":"read","benefit":2,"effect":"read_like","target-latency-us":300000,
 "ttl-us":900000}]`, `"categories":null`, "settings: categories is empty"},
 	} {
-		_, err := load(t, strings.Replace(good, c.old, c.new, 1), map[string]string{"BALANCER_NAME": "n3"})
+		_, err := load(t, strings.Replace(validFile, c.old, c.new, 1), map[string]string{"BALANCER_NAME": "n3"})
 		if err == nil || !strings.HasPrefix(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s for %s: want a line that begins with %q, got %v", c.new, c.old, c.want, err)
+			t.Errorf("%s for %s: got error %v, want one line with prefix %q", c.new, c.old, err, c.want)
 		}
 	}
 	for _, path := range []string{"", "/nowhere/at/all.json"} {
 		if _, err := Load(func(string) string { return path }); err == nil || !strings.HasPrefix(err.Error(), "BALANCER_CONFIG: ") {
-			t.Errorf("%q: %v", path, err)
+			t.Errorf("path %q: got error %v, want prefix BALANCER_CONFIG", path, err)
 		}
 	}
 }
 
-// Another customer's settings: what they leave out, or say as null, zero or empty, is no fault, and neither is what nobody here knows.
+// Guards against refusing other customers' files: a field that is absent, null, zero or empty is no error, and an unknown field is
+// none either.
 func TestAnotherCustomersSettings(t *testing.T) {
 	for _, c := range []struct{ old, new string }{
 		{`,"tenants":[{"name":"acme","quota-rps":9}]`, ""},
@@ -113,32 +115,33 @@
 		{`"benefit":2`, `"benefit":0,"group":"cell","dedup-window-us":0,"tardy-benefit":1`},
 		{`"ttl-us":900000`, `"ttl-us":100`},
 	} {
-		text := strings.Replace(good, c.old, c.new, 1)
+		text := strings.Replace(validFile, c.old, c.new, 1)
 		got, err := load(t, text, map[string]string{"BALANCER_NAME": "n3"})
-		if p := got.Settings.Policy; text == good || err != nil || p.Proxies < 1 || p.MostPushes < 1 || p.Tick < 1 || p.AskEvery < 1 || p.Zones < 1 {
-			t.Errorf("%s for %s: %v, %+v", c.new, c.old, err, p)
+		if p := got.Settings.Policy; text == validFile || err != nil || p.Proxies < 1 || p.MostPushes < 1 || p.Tick < 1 || p.AskEvery < 1 || p.Zones < 1 {
+			t.Errorf("%s for %s: error %v, %+v", c.new, c.old, err, p)
 		}
 	}
-	for every, want := range map[string]int{"5000000": 50000, "60000000": 80000, "0": 80000} { // 6 s is all that news may take on sockets
-		text := strings.Replace(good, `"balancers":3`, `"balancers":3,"discovery":"ask","contract":{"ask-every-us":`+every+`}`, 1)
+	for interval, want := range map[string]int{"5000000": 50000, "60000000": 80000, "0": 80000} { // us: tenths of ms, 8 s at most
+		text := strings.Replace(validFile, `"balancers":3`, `"balancers":3,"discovery":"ask","contract":{"ask-every-us":`+interval+`}`, 1)
 		if c, err := load(t, text, map[string]string{"BALANCER_NAME": "n3"}); err != nil || int(c.Settings.Policy.AskEvery) != want {
-			t.Errorf("every %s: %d, %v", every, c.Settings.Policy.AskEvery, err)
+			t.Errorf("ask-every-us %s: got %d, want %d, error %v", interval, c.Settings.Policy.AskEvery, want, err)
 		}
 	}
 }
 
-// Danger: a reload half applied, or one that a value of the start's environment refuses; a file cut off or thinned by a slip.
+// Guards against a reload that is applied in part, one that is refused because the environment still has the old discovery address,
+// and a file that was truncated or lost fields in editing.
 func TestReload(t *testing.T) {
 	env := map[string]string{"BALANCER_DISCOVERY": "127.2.0.1:8500"}
-	c, err := load(t, good, env)
+	c, err := load(t, validFile, env)
 	if err != nil {
 		t.Fatal(err)
 	}
-	moved := strings.Replace(good, "127.2.0.1:8500", "127.2.0.2:8500", 1)
+	moved := strings.Replace(validFile, "127.2.0.1:8500", "127.2.0.2:8500", 1)
 	write := `{"name":"write","benefit":1,"effect":"non_idempotent","target-latency-us":300000,"ttl-us":900000}`
 	change := func(pairs ...string) string { return strings.NewReplacer(pairs...).Replace(moved) }
-	for text, want := range map[string]string{
-		good:                               "127.2.0.1:8500 [read] []",
+	for text, want := range map[string]string{ // discovery address, categories ("-": dropped), fields that wait for a restart, error
+		validFile:                          "127.2.0.1:8500 [read] []",
 		moved:                              "127.2.0.2:8500 [read] []",
 		change("41", "99", "8c1f", "0000"): "127.2.0.2:8500 [read] []",
 		change(`"n3"`, `"n4"`, ":192", ":96", `["a","b"]`, `["a"]`):          "127.2.0.2:8500 [read] [settings.zones name limits]",
@@ -166,37 +169,40 @@
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		n, waiting, err := c.Reload(func(name string) string {
+		reloaded, waiting, err := c.Reload(func(name string) string {
 			return map[string]string{"BALANCER_CONFIG": path, "BALANCER_DISCOVERY": env["BALANCER_DISCOVERY"]}[name]
 		})
-		classes := slices.Clone(n.Settings.Categories)
-		for i, k := range n.Settings.Policy.Categories {
-			if k.Dropped {
-				classes[i] = "-" + classes[i]
+		categories := slices.Clone(reloaded.Settings.Categories)
+		for i, category := range reloaded.Settings.Policy.Categories {
+			if category.Dropped {
+				categories[i] = "-" + categories[i]
 			}
 		}
-		got := fmt.Sprint(n.Discovery, " ", classes, " ", waiting)
+		got := fmt.Sprint(reloaded.Discovery, " ", categories, " ", waiting)
 		if err != nil {
 			got += " " + err.Error()
 		}
 		if got != want && (err == nil || !strings.HasPrefix(got, want)) {
-			t.Errorf("%.60q: %s, want %s", text, got, want)
+			t.Errorf("%.60q: got %s, want %s", text, got, want)
 		}
 	}
 }
 
+// Guards against an old value of BALANCER_CONTROL that overrides the file, which may be newer.
 func TestControl(t *testing.T) {
-	with := strings.Replace(good, `"seed"`, `"control":"127.0.0.4:7001","seed"`, 1)
-	for _, k := range []struct{ text, env, want string }{
-		{good, "", ""}, {good, "127.0.0.4:7000", "127.0.0.4:7000"}, {with, "", "127.0.0.4:7001"},
-		{with, "127.0.0.4:7000", "127.0.0.4:7001"}, // the file can be newer
+	withControl := strings.Replace(validFile, `"seed"`, `"control":"127.0.0.4:7001","seed"`, 1)
+	for _, test := range []struct{ text, env, want string }{
+		{validFile, "", ""},
+		{validFile, "127.0.0.4:7000", "127.0.0.4:7000"},
+		{withControl, "", "127.0.0.4:7001"},
+		{withControl, "127.0.0.4:7000", "127.0.0.4:7001"},
 	} {
-		c, err := load(t, k.text, map[string]string{"BALANCER_CONTROL": k.env})
-		if err != nil || c.Control != k.want {
-			t.Errorf("%q, %v, wanted %q", c.Control, err, k.want)
+		c, err := load(t, test.text, map[string]string{"BALANCER_CONTROL": test.env})
+		if err != nil || c.Control != test.want {
+			t.Errorf("environment %q: got %q, want %q, error %v", test.env, c.Control, test.want, err)
 		}
 	}
-	if _, err := load(t, good, map[string]string{"BALANCER_CONTROL": "nowhere"}); err == nil || !strings.HasPrefix(err.Error(), "control: ") {
-		t.Error(err)
+	if _, err := load(t, validFile, map[string]string{"BALANCER_CONTROL": "nowhere"}); err == nil || !strings.HasPrefix(err.Error(), "control: ") {
+		t.Errorf("address without a port: got error %v, want prefix \"control: \"", err)
 	}
 }
--- a/internal/operators/operators.go
+++ b/internal/operators/operators.go
@@ -1,5 +1,5 @@
-// Package operators reads the operators' own file: what the platform's configuration does not speak of. It is TOML, read
-// strictly; what is wrong is named by file, line and field. All that it can switch on is off without it.
+// Package operators reads the operators' file: settings of a proxy that the platform's configuration does not cover. It is a
+// TOML file; unknown fields are errors, and errors name file, line and field. Each feature that it can enable is off without it.
 package operators
 
 import (
@@ -11,38 +11,39 @@
 	"minttray/strict"
 )
 
-// File is what operators say.
+// File is the content of an operators' file.
 type File struct {
 	Stop struct {
-		Within Span `toml:"within"` // from SIGTERM until what is open is handed back
-		Close  Span `toml:"close"`  // from then until the process ends, whatever is left
-		Spread Span `toml:"spread"` // over which idle connections are closed, where another process has taken over
+		Within DurationText `toml:"within"` // from SIGTERM until open ops are answered without a result
+		Close  DurationText `toml:"close"`  // from then until the process exits, whatever is still open
+		Spread DurationText `toml:"spread"` // period over which idle connections are closed when a successor serves
 	} `toml:"stop"`
 	State struct {
-		Dir      string `toml:"dir"` // lasting; empty: what was learned ends with the process
-		Every    Span   `toml:"every"`
-		Oldest   Span   `toml:"oldest"`
-		HalfLife Span   `toml:"half_life"`
+		Dir      string       `toml:"dir"`       // persistent directory, absolute; empty: learned state is lost at exit
+		Every    DurationText `toml:"every"`     // interval between snapshots
+		Oldest   DurationText `toml:"oldest"`    // maximum age of a snapshot that is loaded
+		HalfLife DurationText `toml:"half_life"` // of the confidence in a snapshot
 	} `toml:"state"`
 	List struct {
-		Doubt   float64 `toml:"doubt"`   // a whole list that lacks so large a share of the caches is asked for again; 0: believed
-		Confirm Span    `toml:"confirm"` // after which it is believed if it still says so
+		// Doubt is the share of the caches, 0 to 1, that a full list must lack to be confirmed by a second one. 0: off.
+		Doubt   float64      `toml:"doubt"`
+		Confirm DurationText `toml:"confirm"` // delay after which a list that still lacks them is accepted
 	} `toml:"list"`
 
 	path  string
-	lines map[string]int
+	lines map[string]int // line of each field
 }
 
-// Span is a span of time as it is written, with its unit; a File that was read holds none that is wrong.
-type Span string
+// DurationText is a duration as text with a unit, such as "250ms". In a File that was read without error it is valid.
+type DurationText string
 
-// Duration is the span as Go has it.
-func (s Span) Duration() time.Duration {
-	d, _ := time.ParseDuration(string(s))
+// Duration returns the parsed value; 0 if the text is invalid.
+func (t DurationText) Duration() time.Duration {
+	d, _ := time.ParseDuration(string(t))
 	return d
 }
 
-// Defaults is what holds without a file.
+// Defaults returns the settings that apply without a file.
 func Defaults() *File {
 	f := &File{}
 	f.Stop.Within, f.Stop.Close, f.Stop.Spread = "3500ms", "350ms", "0s"
@@ -51,7 +52,7 @@
 	return f
 }
 
-// Read reads a file; an empty path is none.
+// Read reads a file. An empty path means no file and returns the defaults.
 func Read(path string) (*File, error) {
 	if path == "" {
 		return Defaults(), nil
@@ -63,7 +64,7 @@
 	return Decode(path, text)
 }
 
-// Decode takes a file's text apart.
+// Decode decodes and checks the text of a file; path appears in errors.
 func Decode(path string, text []byte) (*File, error) {
 	f := Defaults()
 	f.path = path
@@ -75,10 +76,10 @@
 }
 
 func (f *File) check() error {
-	for _, span := range []struct {
+	for _, duration := range []struct {
 		field    string
-		is       Span
-		from, to time.Duration
+		text     DurationText
+		min, max time.Duration
 	}{
 		{"stop.within", f.Stop.Within, time.Second, time.Hour},
 		{"stop.close", f.Stop.Close, 50 * time.Millisecond, time.Minute},
@@ -86,25 +87,26 @@
 		{"state.every", f.State.Every, 100 * time.Millisecond, time.Hour},
 		{"state.oldest", f.State.Oldest, 100 * time.Millisecond, 24 * time.Hour},
 		{"state.half_life", f.State.HalfLife, 100 * time.Millisecond, 24 * time.Hour},
-		{"list.confirm", f.List.Confirm, 50 * time.Millisecond, time.Second}, // well within a drain's grace
+		// Well within the grace period of a drain: a list that correctly lacks caches must take effect before these end.
+		{"list.confirm", f.List.Confirm, 50 * time.Millisecond, time.Second},
 	} {
-		d, err := time.ParseDuration(string(span.is))
+		d, err := time.ParseDuration(string(duration.text))
 		if err != nil {
-			return f.wrong(span.field, "%q is no span of time with a unit, such as \"250ms\"", string(span.is))
+			return f.fieldError(duration.field, "%q is not a duration with a unit, such as \"250ms\"", string(duration.text))
 		}
-		if d < span.from || d > span.to {
-			return f.wrong(span.field, "%v is not %v to %v", d, span.from, span.to)
+		if d < duration.min || d > duration.max {
+			return f.fieldError(duration.field, "%v is not %v to %v", d, duration.min, duration.max)
 		}
 	}
 	if !(f.List.Doubt >= 0 && f.List.Doubt <= 1) {
-		return f.wrong("list.doubt", "%v is not 0 to 1", f.List.Doubt)
+		return f.fieldError("list.doubt", "%v is not 0 to 1", f.List.Doubt)
 	}
 	if f.State.Dir != "" && !filepath.IsAbs(f.State.Dir) {
-		return f.wrong("state.dir", "%q does not begin at the root", f.State.Dir)
+		return f.fieldError("state.dir", "%q is not an absolute path", f.State.Dir)
 	}
 	return nil
 }
 
-func (f *File) wrong(field, what string, of ...any) error {
-	return fmt.Errorf("%s:%d: %s: %s", f.path, f.lines[field], field, fmt.Sprintf(what, of...))
+func (f *File) fieldError(field, format string, args ...any) error {
+	return fmt.Errorf("%s:%d: %s: %s", f.path, f.lines[field], field, fmt.Sprintf(format, args...))
 }
--- a/internal/plan/plan_test.go
+++ b/internal/plan/plan_test.go
@@ -32,27 +32,28 @@
 work = "10ms"
 `
 
+// Guards against wrong defaults, and errors that don't name file, line and field.
 func TestDecode(t *testing.T) {
 	d, err := Decode("f", text)
-	if err != nil || d.WarmUp != 8 || d.Caches[0].Weight != 1 || d.Full != 0.9 {
+	if err != nil || d.WarmUp != 8 || d.Caches[0].Weight != 1 || d.UsableShare != 0.9 {
 		t.Fatalf("%+v, %v", d, err)
 	}
-	for _, c := range [][3]string{
+	for _, c := range []struct{ old, new, want string }{
 		{`zipf = 1.1`, `zips = 1.1`, "f:4: keys.zips: unknown field"},
-		{`warm_up = "8s"`, `warm_up = "8"`, "f:10: cold.warm_up: \"8\" is no span"},
-		{`site = "a"` + "\ncores", `site = "z"` + "\ncores", "f:19: cache[0].site: no site \"z\""},
-		{`name = "b"`, `name = "a"`, "f:16: site[1].name: \"a\" is no name of its own"},
+		{`warm_up = "8s"`, `warm_up = "8"`, "f:10: cold.warm_up: \"8\" is not a duration"},
+		{`site = "a"` + "\ncores", `site = "z"` + "\ncores", "f:19: cache[0].site: unknown site \"z\""},
+		{`name = "b"`, `name = "a"`, "f:16: site[1].name: \"a\" is empty or used by another site"},
 		{`work = "10ms"`, `work = "-1s"`, "f:25: category[0].work"},
 		{`hits = 0.9`, `hits = 9.0`, "f: hits: 9 is not 0 to 1"},
 	} {
-		if _, err := Decode("f", strings.Replace(text, c[0], c[1], 1)); err == nil || !strings.HasPrefix(err.Error(), c[2]) {
-			t.Errorf("%s: %v", c[1], err)
+		if _, err := Decode("f", strings.Replace(text, c.old, c.new, 1)); err == nil || !strings.HasPrefix(err.Error(), c.want) {
+			t.Errorf("%s: got error %v, want prefix %q", c.new, err, c.want)
 		}
 	}
 	if _, err := Losses(d, []string{"a", "z"}); err == nil {
-		t.Error("a site that is not there")
+		t.Error("an unknown site is accepted")
 	}
-	if all, _ := Losses(d, nil); len(all) != 5 {
-		t.Errorf("%v", all)
+	if losses, _ := Losses(d, nil); len(losses) != 5 {
+		t.Errorf("%d losses for 2 sites, want 5: %v", len(losses), losses)
 	}
 }
--- a/internal/settings/join.go
+++ b/internal/settings/join.go
@@ -7,84 +7,90 @@
 	"slices"
 )
 
-const mostNumbers = 256 // categories, or tenants, that a process may have had by and by
+// maxIDs limits the categories, and the tenants, that a process can have had since its start, dropped ones included.
+const maxIDs = 256
 
-// Join puts new settings in the place of old ones while ops are open under these. A category or tenant keeps its number
-// as long as its rules stay; one with other rules, or a new one, comes behind, and what is no longer asked for is marked.
-// What can't change while a process runs is taken from the old, and waiting names it.
+// Join replaces the settings of a running process while ops that were opened under the old ones may still be open. A category
+// keeps its index as long as its rules stay the same, a tenant as long as it is named; a category with other rules, or a new
+// one, is appended, and what the new settings lack is marked as removed. Settings that can't change in a running process keep
+// their old value; waiting names those that differ.
 func Join(old, new Settings) (joined Settings, waiting []string, err error) {
 	joined = new
-	p, was := &joined.Policy, old.Policy
-	for _, f := range []struct {
+	p, oldPolicy := &joined.Policy, old.Policy
+	for _, fixed := range []struct {
 		name string
 		same bool
 		keep func()
 	}{
-		{"settings.discovery", p.AskList == was.AskList, func() { p.AskList = was.AskList }},
-		{"settings.family-info", p.Aside == was.Aside && p.OriginKind == was.OriginKind,
-			func() { p.Aside, p.OriginKind = was.Aside, was.OriginKind }},
-		{"settings.index", p.Index == was.Index, func() { p.Index = was.Index }},
-		{"settings.zones", p.Zone == was.Zone && slices.Equal(new.Zones, old.Zones),
-			func() { p.Zone, p.Zones, joined.Zones = was.Zone, was.Zones, old.Zones }},
+		{"settings.discovery", p.AskList == oldPolicy.AskList, func() { p.AskList = oldPolicy.AskList }},
+		{"settings.family-info", p.Aside == oldPolicy.Aside && p.OriginKind == oldPolicy.OriginKind, func() {
+			p.Aside, p.OriginKind = oldPolicy.Aside, oldPolicy.OriginKind
+		}},
+		{"settings.index", p.Index == oldPolicy.Index, func() { p.Index = oldPolicy.Index }},
+		{"settings.zones", p.Zone == oldPolicy.Zone && slices.Equal(new.Zones, old.Zones), func() {
+			p.Zone, p.Zones, joined.Zones = oldPolicy.Zone, oldPolicy.Zones, old.Zones
+		}},
 		{"settings.skus", slices.Equal(new.Kinds, old.Kinds), func() { joined.Kinds = old.Kinds }},
-		{"settings.load-report", p.Probing == was.Probing && new.PaceField == old.PaceField &&
+		{"settings.load-report", p.Probing == oldPolicy.Probing && new.PaceField == old.PaceField &&
 			new.WaitingField == old.WaitingField && new.RateField == old.RateField, func() {
-			p.Probing, joined.PaceField, joined.WaitingField, joined.RateField = was.Probing, old.PaceField, old.WaitingField, old.RateField
+			p.Probing = oldPolicy.Probing
+			joined.PaceField, joined.WaitingField, joined.RateField = old.PaceField, old.WaitingField, old.RateField
 		}},
-		{"settings.tick-us", p.Tick == was.Tick, func() { p.Tick = was.Tick }},
+		{"settings.tick-us", p.Tick == oldPolicy.Tick, func() { p.Tick = oldPolicy.Tick }},
 	} {
-		if !f.same {
-			waiting = append(waiting, f.name)
-			f.keep()
+		if !fixed.same {
+			waiting = append(waiting, fixed.name)
+			fixed.keep()
 		}
 	}
-	p.Categories, joined.Categories = slices.Clone(was.Categories), slices.Clone(old.Categories)
+	p.Categories, joined.Categories = slices.Clone(oldPolicy.Categories), slices.Clone(old.Categories)
 	for i := range p.Categories {
 		p.Categories[i].Dropped = true
 	}
-	for i, c := range new.Policy.Categories {
-		at := 0
-		for ; at < len(p.Categories); at++ {
-			same := p.Categories[at]
-			if same.Dropped = false; same == c && joined.Categories[at] == new.Categories[i] {
-				p.Categories[at] = same
+	for i, category := range new.Policy.Categories {
+		index := 0
+		for ; index < len(p.Categories); index++ {
+			existing := p.Categories[index]
+			if existing.Dropped = false; existing == category && joined.Categories[index] == new.Categories[i] {
+				p.Categories[index] = existing
 				break
 			}
 		}
-		if at == len(p.Categories) {
-			p.Categories, joined.Categories = append(p.Categories, c), append(joined.Categories, new.Categories[i])
+		if index == len(p.Categories) {
+			p.Categories, joined.Categories = append(p.Categories, category), append(joined.Categories, new.Categories[i])
 		}
 	}
-	p.Quotas, joined.Tenants, joined.Gone = slices.Clone(was.Quotas), slices.Clone(old.Tenants), make([]bool, len(old.Tenants))
+	p.Quotas, joined.Tenants, joined.Gone = slices.Clone(oldPolicy.Quotas), slices.Clone(old.Tenants), make([]bool, len(old.Tenants))
 	for i := range joined.Gone {
 		joined.Gone[i] = true
 	}
 	for i, name := range new.Tenants {
-		if at := slices.Index(joined.Tenants, name); at >= 0 {
-			p.Quotas[at], joined.Gone[at] = new.Policy.Quotas[i], false
+		if index := slices.Index(joined.Tenants, name); index >= 0 {
+			p.Quotas[index], joined.Gone[index] = new.Policy.Quotas[i], false
 			continue
 		}
 		p.Quotas, joined.Tenants = append(p.Quotas, new.Policy.Quotas[i]), append(joined.Tenants, name)
 		joined.Gone = append(joined.Gone, false)
 	}
-	if len(p.Categories) > mostNumbers || len(p.Quotas) > mostNumbers {
-		return old, nil, fmt.Errorf("settings: more than %d categories or tenants since the start: restart", mostNumbers)
+	if len(p.Categories) > maxIDs || len(p.Quotas) > maxIDs {
+		return old, nil, fmt.Errorf("settings: more than %d categories or tenants since the start: restart", maxIDs)
 	}
 	return joined, waiting, nil
 }
 
-// Short names what a text of settings lacks of those that are in force: a file that was cut or thinned by a slip still
-// decodes, and would put defaults in the place of what was said. Of deeper names only those count that are read.
-func Short(old, new []byte) error {
-	var was, is map[string]any
-	if err := json.Unmarshal(old, &was); err != nil {
+// CheckComplete returns an error that names a field of the old JSON text that the new one lacks. A file that was truncated, or
+// lost a line in editing, still decodes, and defaults would silently replace what the field said. It compares all top-level
+// fields; of nested ones only those that Decode reads.
+func CheckComplete(oldText, newText []byte) error {
+	var oldFields, newFields map[string]any
+	if err := json.Unmarshal(oldText, &oldFields); err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
-	if err := json.Unmarshal(new, &is); err != nil {
+	if err := json.Unmarshal(newText, &newFields); err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
-	for name := range was {
-		if _, ok := is[name]; !ok {
+	for name := range oldFields {
+		if _, ok := newFields[name]; !ok {
 			return fmt.Errorf("settings: %s: missing", name)
 		}
 	}
@@ -93,14 +99,14 @@
 		f := t.Field(i)
 		name := f.Tag.Get("json")
 		if f.Type.Kind() == reflect.Slice {
-			before, _ := was[name].([]any)
-			after, _ := is[name].([]any)
-			if len(before) > 0 && len(after) == 0 {
+			oldList, _ := oldFields[name].([]any)
+			newList, _ := newFields[name].([]any)
+			if len(oldList) > 0 && len(newList) == 0 {
 				return fmt.Errorf("settings: %s is empty", name)
 			}
-			for n, one := range after {
-				for key := range common(before) {
-					if m, ok := one.(map[string]any); ok && m[key] == nil {
+			for n, element := range newList {
+				for key := range commonKeys(oldList) {
+					if object, ok := element.(map[string]any); ok && object[key] == nil {
 						return fmt.Errorf("settings: %s[%d].%s: missing", name, n, key)
 					}
 				}
@@ -109,12 +115,12 @@
 		if f.Type.Kind() != reflect.Struct {
 			continue
 		}
-		before, _ := was[name].(map[string]any)
-		after, _ := is[name].(map[string]any)
-		for _, deeper := range Names(f.Type) {
-			if _, had := before[deeper]; had {
-				if _, has := after[deeper]; !has {
-					return fmt.Errorf("settings: %s.%s: missing", name, deeper)
+		oldObject, _ := oldFields[name].(map[string]any)
+		newObject, _ := newFields[name].(map[string]any)
+		for _, nested := range FieldNames(f.Type) {
+			if _, inOld := oldObject[nested]; inOld {
+				if _, inNew := newObject[nested]; !inNew {
+					return fmt.Errorf("settings: %s.%s: missing", name, nested)
 				}
 			}
 		}
@@ -122,12 +128,12 @@
 	return nil
 }
 
-// common holds the names that all objects of a list have.
-func common(list []any) map[string]bool {
-	counts, all := map[string]int{}, map[string]bool{}
-	for _, one := range list {
-		m, _ := one.(map[string]any)
-		for key, value := range m {
+// commonKeys returns the keys that all objects of a list have with a value other than null.
+func commonKeys(list []any) map[string]bool {
+	counts, common := map[string]int{}, map[string]bool{}
+	for _, element := range list {
+		object, _ := element.(map[string]any)
+		for key, value := range object {
 			if value != nil {
 				counts[key]++
 			}
@@ -135,8 +141,8 @@
 	}
 	for key, n := range counts {
 		if n == len(list) {
-			all[key] = true
+			common[key] = true
 		}
 	}
-	return all
+	return common
 }
--- a/internal/settings/join_test.go
+++ b/internal/settings/join_test.go
@@ -7,11 +7,13 @@
 	"minttray/policy"
 )
 
-func made(proxies int, names ...string) (s Settings) {
+// settingsWith returns settings with a category of each name, and a tenant "of NAME" whose quota is the number of proxies. A name
+// that ends in "!" gives the category another effect.
+func settingsWith(proxies int, names ...string) (s Settings) {
 	s.Policy.Proxies = proxies
 	for _, name := range names {
 		c := policy.Category{Benefit: 1, TTL: 100}
-		if name[len(name)-1] == '!' { // the same name with another effect
+		if name[len(name)-1] == '!' {
 			name, c.Effect = name[:len(name)-1], policy.AtMostOnce
 		}
 		s.Categories, s.Policy.Categories = append(s.Categories, name), append(s.Policy.Categories, c)
@@ -20,41 +22,42 @@
 	return s
 }
 
-// Danger: an op handed in by a number of before the reload is taken for another category, and repeated.
+// Guards against a reload that changes the index of a category or tenant: an op that is open under the old index would be taken
+// for one of another category, and repeated where that is unsafe. The number of categories must stay limited.
 func TestNumbersStandThroughReloads(t *testing.T) {
-	show := func(s Settings) (out string) {
+	format := func(s Settings) (text string) {
 		for i, c := range s.Policy.Categories {
-			out += fmt.Sprintf("%s/%d/%v ", s.Categories[i], c.Effect, c.Dropped)
+			text += fmt.Sprintf("%s/%d/%v ", s.Categories[i], c.Effect, c.Dropped)
 		}
-		for i, q := range s.Policy.Quotas {
-			out += fmt.Sprintf("%s/%v/%v ", s.Tenants[i], q, s.Gone[i])
+		for i, quota := range s.Policy.Quotas {
+			text += fmt.Sprintf("%s/%v/%v ", s.Tenants[i], quota, s.Gone[i])
 		}
-		return out
+		return text
 	}
-	s := made(2, "a", "b")
+	s := settingsWith(2, "a", "b")
 	for _, step := range []struct {
 		new  Settings
-		want string
+		want string // name/effect/dropped of each category, then name/quota/removed of each tenant
 	}{
-		{made(3, "b", "a"), "a/0/false b/0/false of a/3/false of b/3/false "},
-		{made(3, "b!", "c"), "a/0/true b/0/true b/2/false c/0/false of a/3/true of b/3/false of c/3/false "},
-		{made(4, "b"), "a/0/true b/0/false b/2/true c/0/true of a/3/true of b/4/false of c/3/true "},
-		{made(4, "a", "b!"), "a/0/false b/0/true b/2/false c/0/true of a/4/false of b/4/false of c/3/true "},
+		{settingsWith(3, "b", "a"), "a/0/false b/0/false of a/3/false of b/3/false "},
+		{settingsWith(3, "b!", "c"), "a/0/true b/0/true b/2/false c/0/false of a/3/true of b/3/false of c/3/false "},
+		{settingsWith(4, "b"), "a/0/true b/0/false b/2/true c/0/true of a/3/true of b/4/false of c/3/true "},
+		{settingsWith(4, "a", "b!"), "a/0/false b/0/true b/2/false c/0/true of a/4/false of b/4/false of c/3/true "},
 	} {
 		joined, waiting, err := Join(s, step.new)
-		if got := show(joined); err != nil || len(waiting) > 0 || got != step.want {
-			t.Errorf("%v %v\n%s\nwanted\n%s", waiting, err, got, step.want)
+		if got := format(joined); err != nil || len(waiting) > 0 || got != step.want {
+			t.Errorf("error %v, waiting %v\n got %s\nwant %s", err, waiting, got, step.want)
 		}
 		s = joined
 	}
-	for i := range mostNumbers {
+	for i := range maxIDs {
 		var err error
-		if s, _, err = Join(s, made(1, fmt.Sprint("n", i))); err != nil {
-			if i < mostNumbers-5 || len(s.Categories) > mostNumbers {
-				t.Errorf("%d: %v", i, err)
+		if s, _, err = Join(s, settingsWith(1, fmt.Sprint("n", i))); err != nil {
+			if i < maxIDs-5 || len(s.Categories) > maxIDs {
+				t.Errorf("reload %d, with %d categories: %v", i, len(s.Categories), err)
 			}
 			return
 		}
 	}
-	t.Error("no bound to categories")
+	t.Errorf("no limit of categories: %d after the reloads", len(s.Categories))
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings decodes the object that tells a proxy its deployment: the simulator sends it in its first
-// message, a real proxy finds it in its configuration.
+// Package settings decodes the object that describes a deployment to a proxy. The simulator sends it in its first message; a
+// real proxy has it in its configuration file.
 package settings
 
 import (
@@ -13,6 +13,7 @@
 	"minttray/policy"
 )
 
+// category is the JSON form of a category of ops.
 type category struct {
 	Benefit float64 `json:"benefit"`
 	Window  uint64  `json:"dedup-window-us"`
@@ -24,16 +25,17 @@
 	TTL     uint64  `json:"ttl-us"`
 }
 
+// conf is the JSON form of the settings. Fields that it lacks are ignored.
 type conf struct {
-	Balancers int     `json:"balancers"`
-	Beyond    float64 `json:"beyond-share-benefit"`
-	Blend     struct {
-		Full  *float64 `json:"full-at-nines"`
-		Nines float64  `json:"nines-part"`
+	Balancers          int     `json:"balancers"`
+	BeyondShareBenefit float64 `json:"beyond-share-benefit"`
+	Blend              struct {
+		FullAtNines *float64 `json:"full-at-nines"`
+		NinesPart   float64  `json:"nines-part"`
 	} `json:"blend"`
-	Categories []category `json:"categories"`
-	Index      int        `json:"index"`
-	Habits     struct {
+	Categories   []category `json:"categories"`
+	Index        int        `json:"index"`
+	ClientHabits struct {
 		MarksRetry bool `json:"marks-retry"`
 	} `json:"client-habits"`
 	Contract struct {
@@ -56,17 +58,17 @@
 		OriginKind *int   `json:"origin-kind"`
 	} `json:"family-info"`
 	Limits struct {
-		Cancelling    bool   `json:"cancelling"`
-		ConnIdle      uint64 `json:"conn-idle-us"`
-		Connect       uint64 `json:"connect-timeout-us"`
-		MaxOpen       int    `json:"max-open"`
-		MaxRetryAfter uint64 `json:"max-retry-after-us"`
-		MostPushes    *int   `json:"most-pushes"`
-		Peers         bool   `json:"peers"`
-		Probing       bool   `json:"probing"`
-		RetryAfter    bool   `json:"retry-after"`
+		Cancelling     bool   `json:"cancelling"`
+		ConnIdle       uint64 `json:"conn-idle-us"`
+		ConnectTimeout uint64 `json:"connect-timeout-us"`
+		MaxOpen        int    `json:"max-open"`
+		MaxRetryAfter  uint64 `json:"max-retry-after-us"`
+		MostPushes     *int   `json:"most-pushes"`
+		Peers          bool   `json:"peers"`
+		Probing        bool   `json:"probing"`
+		RetryAfter     bool   `json:"retry-after"`
 	} `json:"limits"`
-	Report struct {
+	LoadReport struct {
 		Fields []string `json:"fields"`
 		How    string   `json:"how"`
 	} `json:"load-report"`
@@ -82,40 +84,42 @@
 }
 
 const (
-	mostProxies = 1 << 20
-	mostNines   = 9 // one op in a thousand million: more is a slip
+	maxProxies     = 1 << 20
+	maxFullAtNines = 9 // nine nines are one op in a thousand million: a higher value is a typing error
 )
 
-// Fields names what Decode reads, with a dot before each deeper name; a list is one field.
-func Fields() []string { return Names(reflect.TypeFor[conf]()) }
+// Fields returns the names of all fields that Decode reads, as paths joined by dots. A list is one field.
+func Fields() []string { return FieldNames(reflect.TypeFor[conf]()) }
 
-// Names lists the JSON names of a struct's fields, with a dot before each deeper name; what is no struct is one field.
-func Names(t reflect.Type) (all []string) {
+// FieldNames returns the JSON names of a struct's fields, those of nested structs as paths joined by dots. A field of any other
+// type, lists included, is one name.
+func FieldNames(t reflect.Type) (names []string) {
 	for i := range t.NumField() {
-		name, inner := t.Field(i).Tag.Get("json"), t.Field(i).Type
-		if inner.Kind() != reflect.Struct {
-			all = append(all, name)
+		name, fieldType := t.Field(i).Tag.Get("json"), t.Field(i).Type
+		if fieldType.Kind() != reflect.Struct {
+			names = append(names, name)
 			continue
 		}
-		for _, deeper := range Names(inner) {
-			all = append(all, name+"."+deeper)
+		for _, nested := range FieldNames(fieldType) {
+			names = append(names, name+"."+nested)
 		}
 	}
-	return all
+	return names
 }
 
-// check holds what a typing slip would turn into a decision: words that are none, prices under 0, a zone that is not there.
+// check rejects values that a typing error can produce and that would otherwise change decisions: unknown keywords, negative
+// figures and a zone that does not exist.
 func (c *conf) check() error {
-	for _, word := range []struct {
+	for _, keyword := range []struct {
 		field, value string
 		known        []string
 	}{
 		{"weights", c.Weights, []string{"", "off", "nominal", "rough", "live"}},
-		{"load-report.how", c.Report.How, []string{"", "off", "inline", "on_probe"}},
+		{"load-report.how", c.LoadReport.How, []string{"", "off", "inline", "on_probe"}},
 		{"discovery", c.Discovery, []string{"", "push", "ask"}},
 	} {
-		if !slices.Contains(word.known, word.value) {
-			return fmt.Errorf("%s: %q is none of %q", word.field, word.value, word.known[1:])
+		if !slices.Contains(keyword.known, keyword.value) {
+			return fmt.Errorf("%s: %q is none of %q", keyword.field, keyword.value, keyword.known[1:])
 		}
 	}
 	type figure struct {
@@ -123,17 +127,23 @@
 		value float64
 	}
 	figures := []figure{
-		{"deductions.connection", c.Deductions.Connection}, {"deductions.cross-zone", c.Deductions.CrossZone},
-		{"deductions.handshake", c.Deductions.Handshake}, {"deductions.peer", c.Deductions.Peer},
-		{"deductions.probe", c.Deductions.Probe}, {"beyond-share-benefit", c.Beyond}, {"contract.cold-from", c.Contract.ColdFrom},
-		{"contract.fall-multiple", c.Contract.FallMultiple}, {"limits.max-open", float64(c.Limits.MaxOpen)},
+		{"deductions.connection", c.Deductions.Connection},
+		{"deductions.cross-zone", c.Deductions.CrossZone},
+		{"deductions.handshake", c.Deductions.Handshake},
+		{"deductions.peer", c.Deductions.Peer},
+		{"deductions.probe", c.Deductions.Probe},
+		{"beyond-share-benefit", c.BeyondShareBenefit},
+		{"contract.cold-from", c.Contract.ColdFrom},
+		{"contract.fall-multiple", c.Contract.FallMultiple},
+		{"limits.max-open", float64(c.Limits.MaxOpen)},
 	}
-	for i, k := range c.Categories {
-		figures = append(figures, figure{fmt.Sprintf("categories[%d].benefit", i), k.Benefit},
-			figure{fmt.Sprintf("categories[%d].tardy-benefit", i), k.Tardy})
+	for i, category := range c.Categories {
+		figures = append(figures,
+			figure{fmt.Sprintf("categories[%d].benefit", i), category.Benefit},
+			figure{fmt.Sprintf("categories[%d].tardy-benefit", i), category.Tardy})
 	}
-	for i, t := range c.Tenants {
-		figures = append(figures, figure{fmt.Sprintf("tenants[%d].quota-rps", i), t.Quota})
+	for i, tenant := range c.Tenants {
+		figures = append(figures, figure{fmt.Sprintf("tenants[%d].quota-rps", i), tenant.Quota})
 	}
 	for _, f := range figures {
 		if f.value < 0 {
@@ -143,14 +153,14 @@
 	if n := c.Limits.MostPushes; n != nil && *n < 1 {
 		return fmt.Errorf("limits.most-pushes: %d is not above 0", *n)
 	}
-	if c.Blend.Nines < 0 || c.Blend.Nines > 1 {
-		return fmt.Errorf("blend.nines-part: %v is not 0 to 1", c.Blend.Nines)
+	if c.Blend.NinesPart < 0 || c.Blend.NinesPart > 1 {
+		return fmt.Errorf("blend.nines-part: %v is not 0 to 1", c.Blend.NinesPart)
 	}
-	if f := c.Blend.Full; f != nil && !(*f > 0 && *f <= mostNines) {
-		return fmt.Errorf("blend.full-at-nines: %v is not above 0, %d at most", *f, mostNines)
+	if nines := c.Blend.FullAtNines; nines != nil && !(*nines > 0 && *nines <= maxFullAtNines) {
+		return fmt.Errorf("blend.full-at-nines: %v is not above 0, %d at most", *nines, maxFullAtNines)
 	}
-	if c.Blend.Nines > 0 && c.Blend.Full == nil {
-		return fmt.Errorf("blend.full-at-nines: missing, though nines-part is %v", c.Blend.Nines)
+	if c.Blend.NinesPart > 0 && c.Blend.FullAtNines == nil {
+		return fmt.Errorf("blend.full-at-nines: missing, though nines-part is %v", c.Blend.NinesPart)
 	}
 	if c.Zone < 0 || c.Zone > 0 && c.Zone >= len(c.Zones) {
 		return fmt.Errorf("zone: %d is not 0 to %d", c.Zone, max(len(c.Zones)-1, 0))
@@ -158,147 +168,203 @@
 	return nil
 }
 
-// Settings is what the module reads, and beside it what only a proxy on sockets needs.
+// Settings is the input of the decision module, and what a proxy on sockets needs besides. Fingerprint covers the names, types
+// and order of the fields, so a change to these makes stored snapshots unusable.
 type Settings struct {
-	Policy                     policy.Settings
-	Categories, Tenants        []string // names, in the module's order
-	Gone                       []bool   // tenants that are no longer there, since the settings were read anew; nil: none
-	Zones, Kinds               []string
-	ConnectTimeout, IdleServer time.Duration // 0: none is set
-	MaxOpen                    int           // ops held at once; 0: none is set
-	PaceField                  string        // its name; empty: none
-	WaitingField, RateField    string        // names of those two that a probe asks for; empty: none
-	Pace                       int           // place among a load report's fields of how long its ops take; -1: none
-	Waiting, Rate              int           // places of the ops that wait, and of those done in a second; -1: none
+	Policy     policy.Settings
+	Categories []string // names, in the order of Policy.Categories
+	Tenants    []string // names, in the order of Policy.Quotas
+	Gone       []bool   // tenants that a reload has removed, in the order of Tenants; nil: none
+	Zones      []string // names, in the order of zone numbers
+	Kinds      []string // names of machine types, in the order of their numbers
+
+	ConnectTimeout time.Duration // 0: not set
+	IdleServer     time.Duration // after which an idle connection to a cache is closed; 0: not set
+	MaxOpen        int           // limit of concurrent ops; 0: not set
+
+	PaceField    string // name of the load report field for the latency of a cache; empty: none
+	WaitingField string // name of the field for queued ops, as used by probes; empty: none
+	RateField    string // name of the field for completed ops per second, as used by probes; empty: none
+	Pace         int    // index of the latency among a load report's fields; -1: none
+	Waiting      int    // index of the queued ops; -1: none
+	Rate         int    // index of the completed ops per second; -1: none
 }
 
 var effects = map[string]policy.Effect{
-	"read_like": policy.Redeliverable, "idempotency_key": policy.Deduplicated, "non_idempotent": policy.AtMostOnce,
+	"read_like":       policy.Redeliverable,
+	"idempotency_key": policy.Deduplicated,
+	"non_idempotent":  policy.AtMostOnce,
+}
+
+var groups = map[string]policy.Group{
+	"":     policy.GroupAll,
+	"all":  policy.GroupAll,
+	"zone": policy.GroupZone,
+	"cell": policy.GroupCell,
 }
-var groups = map[string]policy.Group{"": policy.GroupAll, "all": policy.GroupAll, "zone": policy.GroupZone,
-	"cell": policy.GroupCell}
 
-// paces are the names under which deployments report how long a cache's ops take lately, in milliseconds.
-var paces = []string{"svc_ms", "latency_ms"}
+// Names of the load report fields that deployments use.
+var (
+	latencyFields = []string{"svc_ms", "latency_ms"} // of a cache's recent ops, in milliseconds
+	queueFields   = []string{"pending", "queue"}     // ops that wait
+	rateFields    = []string{"served_ps", "qps"}     // ops completed per second
+)
+
+const (
+	timesPerMillisecond = 10                                            // policy.Time counts tenths of milliseconds
+	microsecondsPerTime = 100                                           // one policy.Time
+	maxReportedLatency  = 1e6                                           // milliseconds; values from here on are not plausible
+	maxDurationUS       = 366 * 24 * uint64(time.Hour/time.Microsecond) // a year: longer than any process lives, and free of overflow in each unit
+)
 
-// ReportedLatency turns a report's milliseconds into the module's time; what can't be so is 0, as if nothing had been said.
+// ReportedLatency converts the latency in a load report, in milliseconds, to the decision module's unit. An implausible value
+// gives 0, as does a report without one.
 func ReportedLatency(ms float64) policy.Time {
-	if !(ms > 0 && ms < 1e6) {
+	if !(ms > 0 && ms < maxReportedLatency) {
 		return 0
 	}
-	return max(policy.Time(ms*10), 1)
+	return max(policy.Time(ms*timesPerMillisecond), 1)
 }
 
-// longestSpan bounds all spans, in microseconds: a year, which no process sees the end of, fits into whatever they are counted in.
-const longestSpan = 366 * 24 * uint64(time.Hour/time.Microsecond)
-
-func down(us uint64) policy.Time { return policy.Time(min(us, longestSpan) / 100) }
+// timeFloor converts microseconds to the decision module's unit, rounded down. It caps them at maxDurationUS.
+func timeFloor(us uint64) policy.Time {
+	return policy.Time(min(us, maxDurationUS) / microsecondsPerTime)
+}
 
-func up(us uint64) policy.Time { return down(min(us, longestSpan) + 99) }
+// timeCeil is timeFloor rounded up.
+func timeCeil(us uint64) policy.Time {
+	return timeFloor(min(us, maxDurationUS) + microsecondsPerTime - 1)
+}
 
-func span(us uint64) time.Duration { return time.Duration(min(us, longestSpan)) * time.Microsecond }
+func duration(us uint64) time.Duration {
+	return time.Duration(min(us, maxDurationUS)) * time.Microsecond
+}
 
-// MaxTTL is the longest time that an op may be open, by the TTLs of the categories that are asked for.
+// MaxTTL returns the longest TTL of the categories in use: no op is open for longer.
 func (s Settings) MaxTTL() (longest time.Duration) {
 	for _, c := range s.Policy.Categories {
 		if !c.Dropped {
-			longest = max(longest, time.Duration(c.TTL)*100*time.Microsecond)
+			longest = max(longest, time.Duration(c.TTL)*microsecondsPerTime*time.Microsecond)
 		}
 	}
 	return longest
 }
 
-// Fingerprint is a short text that differs wherever two deployments' settings do.
+// Fingerprint returns a hash of all settings as 16 hexadecimal digits. Snapshots carry it, so that one made under other settings
+// is not loaded.
 func (s Settings) Fingerprint() string {
 	h := fnv.New64a()
 	fmt.Fprintf(h, "%+v", s)
 	return fmt.Sprintf("%016x", h.Sum64())
 }
 
-// Decode takes the object apart; names that it doesn't know are passed over.
+// Decode decodes and checks the JSON object. Unknown fields are ignored.
 func Decode(text []byte) (Settings, error) {
 	var c conf
-	var all Settings
-	s := &all.Policy
+	var s Settings
 	if err := json.Unmarshal(text, &c); err != nil {
-		return all, fmt.Errorf("settings: %w", err)
+		return s, fmt.Errorf("settings: %w", err)
 	}
-	// Each proxy's part of the whole hangs on these two. None told: one proxy, which keeps a small fleet's habits.
-	if c.Balancers < 0 || c.Balancers > mostProxies {
-		return all, fmt.Errorf("settings: balancers: %d is not 0 to %d", c.Balancers, mostProxies)
+	// The proxy's part of each fleet-wide limit depends on these two. Without them the proxy takes itself for the only one.
+	if c.Balancers < 0 || c.Balancers > maxProxies {
+		return s, fmt.Errorf("settings: balancers: %d is not 0 to %d", c.Balancers, maxProxies)
 	}
-	if c.Index < 0 || c.Index > mostProxies {
-		return all, fmt.Errorf("settings: index: %d is not 0 to %d", c.Index, mostProxies)
+	if c.Index < 0 || c.Index > maxProxies {
+		return s, fmt.Errorf("settings: index: %d is not 0 to %d", c.Index, maxProxies)
 	}
 	if err := c.check(); err != nil {
-		return all, fmt.Errorf("settings: %w", err)
+		return s, fmt.Errorf("settings: %w", err)
 	}
 	if len(c.Categories) == 0 {
-		return all, fmt.Errorf("settings: categories is empty")
+		return s, fmt.Errorf("settings: categories is empty")
 	}
-	*s = policy.Settings{
-		BeyondBenefit: c.Beyond, Proxies: max(c.Balancers, 1), Index: c.Index,
-		AskList: c.Discovery == "ask", AskEvery: down(c.Contract.AskEvery),
-		Aside: c.FamilyInfo.Mode == "aside", OriginKind: -1,
-		ColdFrom: c.Contract.ColdFrom, WarmUp: up(c.Contract.WarmUp),
-		FallMultiple: c.Contract.FallMultiple, TipAfter: up(c.Contract.TipAfter),
-		Tick: max(up(c.Tick), 1), MostPushes: 1,
-		Cancelling: c.Limits.Cancelling, Peers: c.Limits.Peers, MarksRetry: c.Habits.MarksRetry,
-		ConnPrice: c.Deductions.Connection, HandshakePrice: c.Deductions.Handshake,
-		CrossPrice: c.Deductions.CrossZone, ProbePrice: c.Deductions.Probe,
-		PeerPrice: c.Deductions.Peer, NinesPart: c.Blend.Nines, Zone: c.Zone, Zones: max(len(c.Zones), 1),
-		RoughWeights: c.Weights == "rough",
+	p := &s.Policy
+	*p = policy.Settings{
+		BeyondBenefit:  c.BeyondShareBenefit,
+		Proxies:        max(c.Balancers, 1),
+		Index:          c.Index,
+		AskList:        c.Discovery == "ask",
+		AskEvery:       timeFloor(c.Contract.AskEvery),
+		Aside:          c.FamilyInfo.Mode == "aside",
+		OriginKind:     -1,
+		ColdFrom:       c.Contract.ColdFrom,
+		WarmUp:         timeCeil(c.Contract.WarmUp),
+		FallMultiple:   c.Contract.FallMultiple,
+		TipAfter:       timeCeil(c.Contract.TipAfter),
+		Tick:           max(timeCeil(c.Tick), 1),
+		MostPushes:     1,
+		Cancelling:     c.Limits.Cancelling,
+		Peers:          c.Limits.Peers,
+		MarksRetry:     c.ClientHabits.MarksRetry,
+		ConnPrice:      c.Deductions.Connection,
+		HandshakePrice: c.Deductions.Handshake,
+		CrossPrice:     c.Deductions.CrossZone,
+		ProbePrice:     c.Deductions.Probe,
+		PeerPrice:      c.Deductions.Peer,
+		NinesPart:      c.Blend.NinesPart,
+		Zone:           c.Zone,
+		Zones:          max(len(c.Zones), 1),
+		RoughWeights:   c.Weights == "rough",
 	}
 	if c.Limits.MostPushes != nil {
-		s.MostPushes = *c.Limits.MostPushes
+		p.MostPushes = *c.Limits.MostPushes
 	}
-	if c.Blend.Full != nil {
-		s.FullAtNines = *c.Blend.Full
+	if c.Blend.FullAtNines != nil {
+		p.FullAtNines = *c.Blend.FullAtNines
 	}
 	if c.FamilyInfo.OriginKind != nil {
-		s.OriginKind = *c.FamilyInfo.OriginKind
+		p.OriginKind = *c.FamilyInfo.OriginKind
 	}
 	if c.Limits.RetryAfter {
-		s.MaxRetryAfter = down(c.Limits.MaxRetryAfter)
+		p.MaxRetryAfter = timeFloor(c.Limits.MaxRetryAfter)
 	}
-	for i, k := range c.Categories {
-		effect, ok := effects[k.Effect]
+	for i, category := range c.Categories {
+		effect, ok := effects[category.Effect]
 		if !ok {
-			return all, fmt.Errorf("settings: categories[%d].effect: unknown effect %q", i, k.Effect)
+			return s, fmt.Errorf("settings: categories[%d].effect: unknown effect %q", i, category.Effect)
 		}
-		group, ok := groups[k.Group]
+		group, ok := groups[category.Group]
 		if !ok {
-			return all, fmt.Errorf("settings: categories[%d].group: unknown group %q", i, k.Group)
+			return s, fmt.Errorf("settings: categories[%d].group: unknown group %q", i, category.Group)
 		}
 		switch {
-		case k.TTL == 0:
-			return all, fmt.Errorf("settings: categories[%d].ttl-us: %d is not above 0", i, k.TTL)
-		case k.Target == 0:
-			return all, fmt.Errorf("settings: categories[%d].target-latency-us: %d is not above 0", i, k.Target)
-		case slices.Contains(all.Categories, k.Name):
-			return all, fmt.Errorf("settings: categories[%d].name: %q stands there twice", i, k.Name)
+		case category.TTL == 0:
+			return s, fmt.Errorf("settings: categories[%d].ttl-us: %d is not above 0", i, category.TTL)
+		case category.Target == 0:
+			return s, fmt.Errorf("settings: categories[%d].target-latency-us: %d is not above 0", i, category.Target)
+		case slices.Contains(s.Categories, category.Name):
+			return s, fmt.Errorf("settings: categories[%d].name: %q stands there twice", i, category.Name)
 		}
-		s.Categories = append(s.Categories, policy.Category{Effect: effect, Group: group, Window: down(k.Window),
-			Target: down(k.Target), TTL: down(k.TTL), Benefit: k.Benefit, Tardy: k.Tardy})
-		all.Categories = append(all.Categories, k.Name)
+		p.Categories = append(p.Categories, policy.Category{
+			Effect:  effect,
+			Group:   group,
+			Window:  timeFloor(category.Window),
+			Target:  timeFloor(category.Target),
+			TTL:     timeFloor(category.TTL),
+			Benefit: category.Benefit,
+			Tardy:   category.Tardy,
+		})
+		s.Categories = append(s.Categories, category.Name)
 	}
-	for _, t := range c.Tenants {
-		s.Quotas = append(s.Quotas, t.Quota)
-		all.Tenants = append(all.Tenants, t.Name)
+	for _, tenant := range c.Tenants {
+		p.Quotas = append(p.Quotas, tenant.Quota)
+		s.Tenants = append(s.Tenants, tenant.Name)
 	}
-	all.Zones, all.Kinds, all.MaxOpen = c.Zones, c.SKUs, c.Limits.MaxOpen
-	place := func(names ...string) int {
-		return slices.IndexFunc(c.Report.Fields, func(name string) bool { return slices.Contains(names, name) })
+	s.Zones, s.Kinds, s.MaxOpen = c.Zones, c.SKUs, c.Limits.MaxOpen
+	fieldIndex := func(names []string) int {
+		return slices.IndexFunc(c.LoadReport.Fields, func(name string) bool { return slices.Contains(names, name) })
 	}
-	all.Pace, all.Waiting, all.Rate = place(paces...), place("pending", "queue"), place("served_ps", "qps")
-	if all.Waiting >= 0 && all.Rate >= 0 {
-		all.WaitingField, all.RateField = c.Report.Fields[all.Waiting], c.Report.Fields[all.Rate]
-		s.Probing = c.Limits.Probing && c.Report.How == "on_probe"
+	s.Pace = fieldIndex(latencyFields)
+	s.Waiting = fieldIndex(queueFields)
+	s.Rate = fieldIndex(rateFields)
+	if s.Waiting >= 0 && s.Rate >= 0 {
+		s.WaitingField, s.RateField = c.LoadReport.Fields[s.Waiting], c.LoadReport.Fields[s.Rate]
+		p.Probing = c.Limits.Probing && c.LoadReport.How == "on_probe"
 	}
-	if all.Pace >= 0 {
-		all.PaceField = c.Report.Fields[all.Pace]
+	if s.Pace >= 0 {
+		s.PaceField = c.LoadReport.Fields[s.Pace]
 	}
-	all.ConnectTimeout = span(c.Limits.Connect)
-	all.IdleServer = span(c.Limits.ConnIdle)
-	return all, nil
+	s.ConnectTimeout = duration(c.Limits.ConnectTimeout)
+	s.IdleServer = duration(c.Limits.ConnIdle)
+	return s, nil
 }
