--- a/cmd/minttray/main.go
+++ b/cmd/minttray/main.go
@@ -1,4 +1,4 @@
-// Command minttray is one proxy of a fleet of cache servers.
+// Command minttray runs one proxy of a fleet of cache servers, and checks its files and plans for the loss of sites.
 package main
 
 import (
@@ -18,69 +18,98 @@
 	"minttray/policy"
 )
 
+// Exit statuses other than 0.
+const (
+	exitError    = 1
+	exitShortage = 3 // of plan: a loss leaves too little capacity
+)
+
 func main() {
-	if err := root().Execute(); err != nil {
+	if err := newRootCommand().Execute(); err != nil {
 		fmt.Fprintln(os.Stderr, "minttray:", err)
-		if errors.Is(err, errShort) {
-			os.Exit(3)
+		if errors.Is(err, errShortage) {
+			os.Exit(exitShortage)
 		}
-		os.Exit(1)
+		os.Exit(exitError)
 	}
 }
 
-// errShort is a loss that the rest can't bear whole.
-var errShort = errors.New("a loss can't be borne")
+// errShortage is returned by plan when the remaining sites can't serve all ops after a loss.
+var errShortage = errors.New("not all ops can be served after a loss")
 
-func root() *cobra.Command {
-	file := ""
+func newRootCommand() *cobra.Command {
+	operatorsFile := ""
 	serve := func(*cobra.Command, []string) error {
-		return daemon.Main(func(s policy.Settings, seed uint64, h policy.Host) daemon.Module { return policy.New(s, seed, h) }, file)
+		newModule := func(s policy.Settings, seed uint64, h policy.Host) daemon.Module { return policy.New(s, seed, h) }
+		return daemon.Main(newModule, operatorsFile)
+	}
+	root := &cobra.Command{
+		Use:           "minttray",
+		Short:         "One proxy of a fleet of cache servers.",
+		SilenceUsage:  true,
+		SilenceErrors: true,
+		Args:          cobra.NoArgs,
+		RunE:          serve,
 	}
-	root := &cobra.Command{Use: "minttray", Short: "One proxy of a fleet of cache servers.", SilenceUsage: true, SilenceErrors: true,
-		Args: cobra.NoArgs, RunE: serve}
 	root.CompletionOptions.DisableDefaultCmd = true
-	root.PersistentFlags().StringVar(&file, "operators", "", "the operators' file (or MINTTRAY_OPERATORS)")
+	root.PersistentFlags().StringVar(&operatorsFile, "operators", "", "the operators' file (or MINTTRAY_OPERATORS)")
 	root.AddCommand(
-		&cobra.Command{Use: "serve", Short: "Serves until SIGTERM; what is done without a command.", Args: cobra.NoArgs, RunE: serve},
-		&cobra.Command{Use: "check FILE...", Short: "Tells what is wrong with operators' files (.toml) and configurations, by field.",
-			Args: cobra.MinimumNArgs(1), RunE: func(cmd *cobra.Command, paths []string) error {
+		&cobra.Command{
+			Use:   "serve",
+			Short: "Serves until SIGTERM. This is the default command.",
+			Args:  cobra.NoArgs,
+			RunE:  serve,
+		},
+		&cobra.Command{
+			Use:   "check FILE...",
+			Short: "Checks operators' files (.toml) and configurations. Errors name the field.",
+			Args:  cobra.MinimumNArgs(1),
+			RunE: func(cmd *cobra.Command, paths []string) error {
 				for _, path := range paths {
-					if err := check(path); err != nil {
+					if err := checkFile(path); err != nil {
 						return err
 					}
 					fmt.Fprintln(cmd.OutOrStdout(), path+": fine")
 				}
 				return nil
-			}},
-		planCommand(),
-		&cobra.Command{Use: "version", Short: "Tells what this was built from.", Args: cobra.NoArgs, Run: func(cmd *cobra.Command, _ []string) {
-			fmt.Fprintln(cmd.OutOrStdout(), version())
-		}})
+			},
+		},
+		newPlanCommand(),
+		&cobra.Command{
+			Use:   "version",
+			Short: "Prints the version, and the revision that it was built from.",
+			Args:  cobra.NoArgs,
+			Run: func(cmd *cobra.Command, _ []string) {
+				fmt.Fprintln(cmd.OutOrStdout(), version())
+			},
+		})
 	return root
 }
 
-func planCommand() *cobra.Command {
-	var lose []string
+func newPlanCommand() *cobra.Command {
+	var lostSites []string
 	asJSON := false
-	c := &cobra.Command{Use: "plan FILE", Args: cobra.ExactArgs(1),
-		Short: "Tells what the loss of each site, of each pair and of each site's ways comes to; status 3 if one can't be borne.",
+	c := &cobra.Command{
+		Use:   "plan FILE",
+		Short: "Plans for the loss of each site, of each pair of sites, and for each site cut off; status 3 if not all ops can be served.",
+		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, paths []string) error {
 			d, err := plan.Read(paths[0])
 			if err != nil {
 				return err
 			}
-			losses, err := plan.Losses(d, lose)
+			losses, err := plan.Losses(d, lostSites)
 			if err != nil {
 				return err
 			}
 			var plans []site.Plan
-			short := ""
+			shortage := "" // last one of the first plan with any
 			for _, l := range losses {
 				p := d.For(l)
-				if plans = append(plans, p); !plan.FullyServed(p) && short == "" {
+				if plans = append(plans, p); !plan.FullyServed(p) && shortage == "" {
 					for _, f := range p.Phases {
 						if len(f.Shortages) > 0 {
-							short = plan.Title(p) + ", " + f.Name + ": " + f.Shortages[0]
+							shortage = plan.Title(p) + ", " + f.Name + ": " + f.Shortages[0]
 						}
 					}
 				}
@@ -90,17 +119,18 @@
 			} else {
 				plan.WriteText(cmd.OutOrStdout(), d, plans)
 			}
-			if err == nil && short != "" {
-				err = fmt.Errorf("%w: %s", errShort, short)
+			if err == nil && shortage != "" {
+				err = fmt.Errorf("%w: %s", errShortage, shortage)
 			}
 			return err
-		}}
-	c.Flags().StringSliceVar(&lose, "lose", nil, "the sites that are lost together, in place of all cases")
-	c.Flags().BoolVar(&asJSON, "json", false, "for machines")
+		},
+	}
+	c.Flags().StringSliceVar(&lostSites, "lose", nil, "the sites that are lost together, instead of all cases")
+	c.Flags().BoolVar(&asJSON, "json", false, "write JSON")
 	return c
 }
 
-func check(path string) error {
+func checkFile(path string) error {
 	if filepath.Ext(path) == ".toml" {
 		_, err := operators.Read(path)
 		return err
@@ -115,10 +145,11 @@
 	return nil
 }
 
+// version returns the module's version, the revision if the build recorded one, and the Go version.
 func version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
-		return "minttray, built without a word of what from"
+		return "minttray, built without build information"
 	}
 	text := "minttray " + info.Main.Version
 	for _, s := range info.Settings {
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,4 +1,4 @@
-// Command simhost puts the decision module on the simulator's wire.
+// Command simhost runs the decision module for the simulator, over standard input and output.
 package main
 
 import (
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -25,13 +25,14 @@
 	TTL     uint64  `json:"ttl-us"`
 }
 
-// conf is the JSON form of the settings. Fields that it lacks are ignored.
+// conf is the JSON form of the settings; unknown fields are ignored. Errors of encoding/json quote the names of the type and of the
+// fields of its unnamed structs, and the simulator gets them.
 type conf struct {
 	Balancers          int     `json:"balancers"`
 	BeyondShareBenefit float64 `json:"beyond-share-benefit"`
 	Blend              struct {
-		FullAtNines *float64 `json:"full-at-nines"`
-		NinesPart   float64  `json:"nines-part"`
+		Full  *float64 `json:"full-at-nines"`
+		Nines float64  `json:"nines-part"`
 	} `json:"blend"`
 	Categories   []category `json:"categories"`
 	Index        int        `json:"index"`
@@ -58,15 +59,15 @@
 		OriginKind *int   `json:"origin-kind"`
 	} `json:"family-info"`
 	Limits struct {
-		Cancelling     bool   `json:"cancelling"`
-		ConnIdle       uint64 `json:"conn-idle-us"`
-		ConnectTimeout uint64 `json:"connect-timeout-us"`
-		MaxOpen        int    `json:"max-open"`
-		MaxRetryAfter  uint64 `json:"max-retry-after-us"`
-		MostPushes     *int   `json:"most-pushes"`
-		Peers          bool   `json:"peers"`
-		Probing        bool   `json:"probing"`
-		RetryAfter     bool   `json:"retry-after"`
+		Cancelling    bool   `json:"cancelling"`
+		ConnIdle      uint64 `json:"conn-idle-us"`
+		Connect       uint64 `json:"connect-timeout-us"`
+		MaxOpen       int    `json:"max-open"`
+		MaxRetryAfter uint64 `json:"max-retry-after-us"`
+		MostPushes    *int   `json:"most-pushes"`
+		Peers         bool   `json:"peers"`
+		Probing       bool   `json:"probing"`
+		RetryAfter    bool   `json:"retry-after"`
 	} `json:"limits"`
 	LoadReport struct {
 		Fields []string `json:"fields"`
@@ -153,14 +154,14 @@
 	if n := c.Limits.MostPushes; n != nil && *n < 1 {
 		return fmt.Errorf("limits.most-pushes: %d is not above 0", *n)
 	}
-	if c.Blend.NinesPart < 0 || c.Blend.NinesPart > 1 {
-		return fmt.Errorf("blend.nines-part: %v is not 0 to 1", c.Blend.NinesPart)
+	if c.Blend.Nines < 0 || c.Blend.Nines > 1 {
+		return fmt.Errorf("blend.nines-part: %v is not 0 to 1", c.Blend.Nines)
 	}
-	if nines := c.Blend.FullAtNines; nines != nil && !(*nines > 0 && *nines <= maxFullAtNines) {
+	if nines := c.Blend.Full; nines != nil && !(*nines > 0 && *nines <= maxFullAtNines) {
 		return fmt.Errorf("blend.full-at-nines: %v is not above 0, %d at most", *nines, maxFullAtNines)
 	}
-	if c.Blend.NinesPart > 0 && c.Blend.FullAtNines == nil {
-		return fmt.Errorf("blend.full-at-nines: missing, though nines-part is %v", c.Blend.NinesPart)
+	if c.Blend.Nines > 0 && c.Blend.Full == nil {
+		return fmt.Errorf("blend.full-at-nines: missing, though nines-part is %v", c.Blend.Nines)
 	}
 	if c.Zone < 0 || c.Zone > 0 && c.Zone >= len(c.Zones) {
 		return fmt.Errorf("zone: %d is not 0 to %d", c.Zone, max(len(c.Zones)-1, 0))
@@ -301,7 +302,7 @@
 		CrossPrice:     c.Deductions.CrossZone,
 		ProbePrice:     c.Deductions.Probe,
 		PeerPrice:      c.Deductions.Peer,
-		NinesPart:      c.Blend.NinesPart,
+		NinesPart:      c.Blend.Nines,
 		Zone:           c.Zone,
 		Zones:          max(len(c.Zones), 1),
 		RoughWeights:   c.Weights == "rough",
@@ -309,8 +310,8 @@
 	if c.Limits.MostPushes != nil {
 		p.MostPushes = *c.Limits.MostPushes
 	}
-	if c.Blend.FullAtNines != nil {
-		p.FullAtNines = *c.Blend.FullAtNines
+	if c.Blend.Full != nil {
+		p.FullAtNines = *c.Blend.Full
 	}
 	if c.FamilyInfo.OriginKind != nil {
 		p.OriginKind = *c.FamilyInfo.OriginKind
@@ -364,7 +365,7 @@
 	if s.Pace >= 0 {
 		s.PaceField = c.LoadReport.Fields[s.Pace]
 	}
-	s.ConnectTimeout = duration(c.Limits.ConnectTimeout)
+	s.ConnectTimeout = duration(c.Limits.Connect)
 	s.IdleServer = duration(c.Limits.ConnIdle)
 	return s, nil
 }
