--- a/tools/citest/known.go
+++ b/tools/citest/known.go
@@ -5,57 +5,59 @@
 	"strings"
 )
 
-// mostKnown is how many tests may be known to fail at once.
-const mostKnown = 3
+// maxKnownFailures is how many tests the list may hold.
+const maxKnownFailures = 3
 
-// test names one test: its package and its top-level function.
-type test struct{ pkg, name string }
+// testID identifies a test by its package and its top-level function.
+type testID struct{ pkg, name string }
 
-func (t test) String() string { return t.pkg + " " + t.name }
+func (t testID) String() string { return t.pkg + " " + t.name }
 
 // knownFailure is one line of the list.
 type knownFailure struct {
-	test
-	cause, issue string
+	testID
+	cause string
+	issue string
 }
 
-// parseKnown reads the list: lines of "package test; cause; issue", empty lines, and comments that begin with #.
+// parseKnown parses the list. Its lines are "package test; cause; issue", empty, or comments that begin with #.
 func parseKnown(text string) (known []knownFailure, err error) {
-	for n, line := range strings.Split(text, "\n") {
+	for i, line := range strings.Split(text, "\n") {
 		line = strings.TrimSpace(line)
 		if line == "" || strings.HasPrefix(line, "#") {
 			continue
 		}
-		k, err := parseLine(line)
+		failure, err := parseLine(line)
 		if err != nil {
-			return nil, fmt.Errorf("%s:%d: %w", knownFile, n+1, err)
+			return nil, fmt.Errorf("%s:%d: %w", knownFile, i+1, err)
 		}
 		for _, other := range known {
-			if other.test == k.test {
-				return nil, fmt.Errorf("%s:%d: %v is listed twice", knownFile, n+1, k.test)
+			if other.testID == failure.testID {
+				return nil, fmt.Errorf("%s:%d: %v is listed twice", knownFile, i+1, failure.testID)
 			}
 		}
-		known = append(known, k)
+		known = append(known, failure)
 	}
-	if len(known) > mostKnown {
-		return nil, fmt.Errorf("%s lists %d tests, %d at most are allowed", knownFile, len(known), mostKnown)
+	if len(known) > maxKnownFailures {
+		return nil, fmt.Errorf("%s lists %d tests, %d at most are allowed", knownFile, len(known), maxKnownFailures)
 	}
 	return known, nil
 }
 
-func parseLine(line string) (k knownFailure, err error) {
+func parseLine(line string) (failure knownFailure, err error) {
 	fields := strings.Split(line, ";")
 	if len(fields) != 3 {
-		return k, fmt.Errorf("want \"package test; cause; issue\", have %q", line)
+		return failure, fmt.Errorf("want \"package test; cause; issue\", have %q", line)
 	}
 	names := strings.Fields(fields[0])
 	if len(names) != 2 || !strings.HasPrefix(names[1], "Test") {
-		return k, fmt.Errorf("want a package and a test, have %q", fields[0])
+		return failure, fmt.Errorf("want a package and a test, have %q", fields[0])
 	}
-	k.test = test{names[0], names[1]}
-	k.cause, k.issue = strings.TrimSpace(fields[1]), strings.TrimSpace(fields[2])
-	if k.cause == "" || k.issue == "" {
-		return k, fmt.Errorf("%v has no cause, or no issue", k.test)
+	failure.testID = testID{names[0], names[1]}
+	failure.cause = strings.TrimSpace(fields[1])
+	failure.issue = strings.TrimSpace(fields[2])
+	if failure.cause == "" || failure.issue == "" {
+		return failure, fmt.Errorf("%v has no cause, or no issue", failure.testID)
 	}
-	return k, nil
+	return failure, nil
 }
--- a/tools/citest/main.go
+++ b/tools/citest/main.go
@@ -1,9 +1,9 @@
-// Citest runs the project's tests, and passes over those that KNOWN-RED.txt lists as failing for a known cause.
+// Command citest runs the project's tests, and tolerates the failures that KNOWN-RED.txt lists with their cause.
 //
 //	citest [flags of go test] [-- packages]
 //
-// Without packages all are tested. Each listed test of them is run with all others and printed with its outcome. The run fails if any other test fails, if a listed test does
-// not exist, or if more than three are listed.
+// Without packages all are tested. Listed tests run with the others, and each is printed with its outcome. The run fails
+// if any other test fails, if a listed test does not exist, or if more than three are listed.
 package main
 
 import (
@@ -14,11 +14,12 @@
 	"strings"
 )
 
-// knownFile lists the known failures, at the root of the repository.
+// knownFile is the list of known failures, at the root of the repository.
 const knownFile = "KNOWN-RED.txt"
 
-// alone are packages that run by themselves, one after another: they play real processes by the clock, and a busy machine voids their runs.
-var alone = []string{"minttray/lab/run"}
+// exclusivePackages are tested one at a time, after all others: they run real processes in real time, and load on the
+// machine makes their runs void.
+var exclusivePackages = []string{"minttray/lab/run"}
 
 func main() {
 	if err := run(os.Args[1:]); err != nil {
@@ -27,19 +28,19 @@
 	}
 }
 
-// allPackages is the pattern for those of the repository.
+// allPackages is the pattern for all packages of the repository.
 const allPackages = "./..."
 
-// split takes flags and package patterns apart.
-func split(args []string) (flags, patterns []string) {
-	if at := slices.Index(args, "--"); at >= 0 {
-		return args[:at], args[at+1:]
+// splitArgs separates the flags of go test from the package patterns.
+func splitArgs(args []string) (flags, patterns []string) {
+	if i := slices.Index(args, "--"); i >= 0 {
+		return args[:i], args[i+1:]
 	}
 	return args, []string{allPackages}
 }
 
 func run(args []string) error {
-	flags, patterns := split(args)
+	flags, patterns := splitArgs(args)
 	text, err := os.ReadFile(knownFile)
 	if err != nil {
 		return err
@@ -48,7 +49,7 @@
 	if err != nil {
 		return err
 	}
-	packages, err := list(patterns)
+	packages, err := listPackages(patterns)
 	if err != nil {
 		return err
 	}
@@ -56,31 +57,32 @@
 		return !slices.Contains(packages, k.pkg) && !slices.Contains(patterns, allPackages)
 	})
 	results := newResults()
-	together := slices.DeleteFunc(slices.Clone(packages), func(name string) bool { return slices.Contains(alone, name) })
-	byThemselves := slices.DeleteFunc(slices.Clone(alone), func(name string) bool { return !slices.Contains(packages, name) })
-	for _, names := range append([][]string{together}, each(byThemselves)...) {
-		if len(names) == 0 {
+	concurrent := slices.DeleteFunc(slices.Clone(packages), func(name string) bool { return slices.Contains(exclusivePackages, name) })
+	exclusive := slices.DeleteFunc(slices.Clone(exclusivePackages), func(name string) bool { return !slices.Contains(packages, name) })
+	for _, group := range append([][]string{concurrent}, groupsOfOne(exclusive)...) {
+		if len(group) == 0 {
 			continue
 		}
-		if err := results.test(flags, names); err != nil {
+		if err := results.runTests(flags, group); err != nil {
 			return err
 		}
 	}
-	return results.judge(os.Stdout, known)
+	return results.report(os.Stdout, known)
 }
 
-func each(names []string) (all [][]string) {
-	for _, name := range names {
-		all = append(all, []string{name})
+// groupsOfOne returns a group for each package.
+func groupsOfOne(packages []string) (groups [][]string) {
+	for _, name := range packages {
+		groups = append(groups, []string{name})
 	}
-	return all
+	return groups
 }
 
-// list names the packages that patterns stand for.
-func list(patterns []string) ([]string, error) {
-	out, err := exec.Command("go", append([]string{"list"}, patterns...)...).Output()
+// listPackages returns the import paths of the packages that match the patterns.
+func listPackages(patterns []string) ([]string, error) {
+	output, err := exec.Command("go", append([]string{"list"}, patterns...)...).Output()
 	if err != nil {
 		return nil, fmt.Errorf("go list: %w", err)
 	}
-	return strings.Fields(string(out)), nil
+	return strings.Fields(string(output)), nil
 }
--- a/tools/citest/main_test.go
+++ b/tools/citest/main_test.go
@@ -11,7 +11,7 @@
 func TestParseKnown(t *testing.T) {
 	good := "# comment\n\nminttray/a TestOne; it is slow; issue 1\nminttray/b TestTwo; cause; issue 2\n"
 	known, err := parseKnown(good)
-	if err != nil || len(known) != 2 || known[0].test != (test{"minttray/a", "TestOne"}) || known[0].cause != "it is slow" || known[1].issue != "issue 2" {
+	if err != nil || len(known) != 2 || known[0].testID != (testID{"minttray/a", "TestOne"}) || known[0].cause != "it is slow" || known[1].issue != "issue 2" {
 		t.Errorf("%+v, %v", known, err)
 	}
 	for _, c := range []struct{ text, want string }{
@@ -28,8 +28,8 @@
 	}
 }
 
-// planted is a module with tests that pass, fail, and end their process.
-func planted(t *testing.T, body string) *results {
+// runModule runs the tests of a temporary module that holds body, and returns their results.
+func runModule(t *testing.T, body string) *results {
 	t.Helper()
 	dir := t.TempDir()
 	files := map[string]string{"go.mod": "module planted\n\ngo 1.24\n", "a_test.go": "package planted\n\nimport (\n\t\"os\"\n\t\"testing\"\n)\n\nvar _ = os.Exit\n\n" + body}
@@ -41,24 +41,25 @@
 	t.Chdir(dir)
 	t.Setenv("GOFLAGS", "-mod=mod")
 	r := newResults()
-	if err := r.test(nil, []string{"planted"}); err != nil {
+	if err := r.runTests(nil, []string{"planted"}); err != nil {
 		t.Fatal(err)
 	}
 	return r
 }
 
 func known(name string) []knownFailure {
-	return []knownFailure{{test{"planted", name}, "planted", "issue 0"}}
+	return []knownFailure{{testID{"planted", name}, "planted", "issue 0"}}
 }
 
-// A planted failing test fails the run unless it is listed, and is printed with its outcome where it is.
-func TestJudge(t *testing.T) {
+// A failure that is taken for a known one would hide a defect. A failing test fails the run unless it is listed, and a
+// listed one is printed with its outcome.
+func TestReport(t *testing.T) {
 	const good, bad = "func TestGood(t *testing.T) {}\n", "func TestBad(t *testing.T) { t.Run(\"sub\", func(t *testing.T) { t.Error(\"planted\") }) }\n"
 	for _, c := range []struct {
 		name, body string
 		known      []knownFailure
-		fault      string // "": the run passes
-		shown      string
+		fault      string // in the error; empty: the run passes
+		printed    string // in the output
 	}{
 		{"all pass", good, nil, "", "1 passed, 0 failed"},
 		{"one fails", good + bad, nil, "planted TestBad failed", "1 passed, 1 failed"},
@@ -70,13 +71,13 @@
 		{"the process ends", "func TestExit(t *testing.T) { os.Exit(3) }\n", nil, "failed", ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			var shown strings.Builder
-			err := planted(t, c.body).judge(&shown, c.known)
+			var printed strings.Builder
+			err := runModule(t, c.body).report(&printed, c.known)
 			if (err == nil) != (c.fault == "") || err != nil && !strings.Contains(err.Error(), c.fault) {
 				t.Errorf("%v, want %q", err, c.fault)
 			}
-			if !strings.Contains(shown.String(), c.shown) {
-				t.Errorf("shown:\n%s", shown.String())
+			if !strings.Contains(printed.String(), c.printed) {
+				t.Errorf("printed, without %q:\n%s", c.printed, printed.String())
 			}
 		})
 	}
@@ -88,17 +89,17 @@
 		{"-race -count=1", "-race -count=1", "./..."},
 		{"-race -- ./a ./b/...", "-race", "./a ./b/..."},
 	} {
-		flags, patterns := split(strings.Fields(c.args))
+		flags, patterns := splitArgs(strings.Fields(c.args))
 		if strings.Join(flags, " ") != c.flags || strings.Join(patterns, " ") != c.patterns {
 			t.Errorf("%q: %q, %q", c.args, flags, patterns)
 		}
 	}
 }
 
-// What is no line of the format is shown, not dropped.
+// Lines that are not JSON are messages of the go command: they are printed, not dropped.
 func TestReadShowsOtherLines(t *testing.T) {
-	var shown strings.Builder
-	if err := newResults().read(strings.NewReader("go: a message\n"), io.Writer(&shown)); err != nil || shown.String() != "go: a message\n" {
-		t.Errorf("%v, %q", err, shown.String())
+	var printed strings.Builder
+	if err := newResults().read(strings.NewReader("go: a message\n"), io.Writer(&printed)); err != nil || printed.String() != "go: a message\n" {
+		t.Errorf("%v, printed %q", err, printed.String())
 	}
 }
--- a/tools/citest/results.go
+++ b/tools/citest/results.go
@@ -17,7 +17,7 @@
 	Action, Package, Test, Output string
 }
 
-// outcome is how a test ended: pass, fail or skip, in the words of go test.
+// outcome is how a test ended: pass, fail or skip, as go test calls them.
 type outcome string
 
 const (
@@ -26,31 +26,36 @@
 	skipped outcome = "skip"
 )
 
-// results are what all runs of go test said.
+// results collects the results of all runs of go test.
 type results struct {
-	outcomes map[test]outcome
-	output   map[test][]string
-	broken   map[string][]string // packages that failed, with what they printed outside of their tests
-	loose    map[string][]string // what packages printed outside of their tests
+	outcomes       map[testID]outcome
+	testOutput     map[testID][]string
+	failedPackages map[string][]string // what each failed package printed outside of its tests
+	packageOutput  map[string][]string // what each package printed outside of its tests
 }
 
 func newResults() *results {
-	return &results{outcomes: map[test]outcome{}, output: map[test][]string{}, broken: map[string][]string{}, loose: map[string][]string{}}
+	return &results{
+		outcomes:       map[testID]outcome{},
+		testOutput:     map[testID][]string{},
+		failedPackages: map[string][]string{},
+		packageOutput:  map[string][]string{},
+	}
 }
 
-// test runs the tests of some packages.
-func (r *results) test(flags, packages []string) error {
+// runTests runs the tests of the packages and records their results.
+func (r *results) runTests(flags, packages []string) error {
 	args := append([]string{"test", "-json"}, flags...)
 	cmd := exec.Command("go", append(args, packages...)...)
 	cmd.Stderr = os.Stderr
-	out, err := cmd.StdoutPipe()
+	stdout, err := cmd.StdoutPipe()
 	if err != nil {
 		return err
 	}
 	if err := cmd.Start(); err != nil {
 		return err
 	}
-	said := r.read(out, os.Stdout)
+	readErr := r.read(stdout, os.Stdout)
 	err = cmd.Wait()
 	var exit *exec.ExitError
 	if err != nil && !errors.As(err, &exit) {
@@ -59,11 +64,11 @@
 	if err != nil && !r.anyFailed(packages) {
 		return fmt.Errorf("go test failed with no failing test or package: %w", err)
 	}
-	return said
+	return readErr
 }
 
-// read takes the lines of go test -json, and shows one for each package.
-func (r *results) read(in io.Reader, show io.Writer) error {
+// read records the lines of go test -json, and prints one line for each package to progress.
+func (r *results) read(in io.Reader, progress io.Writer) error {
 	lines := bufio.NewReader(in)
 	for {
 		line, err := lines.ReadBytes('\n')
@@ -75,83 +80,85 @@
 		}
 		var e event
 		if json.Unmarshal(line, &e) != nil {
-			fmt.Fprint(show, string(line)) // not of the format: a message of the go command itself
+			fmt.Fprint(progress, string(line)) // not JSON: a message of the go command itself
 			continue
 		}
-		r.take(e, show)
+		r.record(e, progress)
 	}
 }
 
-func (r *results) take(e event, show io.Writer) {
+// record records one event. Subtests count for their top-level test.
+func (r *results) record(e event, progress io.Writer) {
 	name, _, _ := strings.Cut(e.Test, "/")
-	t := test{e.Package, name}
+	id := testID{e.Package, name}
 	switch {
 	case e.Action == "output" && name == "":
 		if strings.HasPrefix(e.Output, "ok ") || strings.HasPrefix(e.Output, "FAIL\t") {
-			fmt.Fprint(show, e.Output)
+			fmt.Fprint(progress, e.Output)
 		}
-		r.loose[e.Package] = append(r.loose[e.Package], e.Output)
+		r.packageOutput[e.Package] = append(r.packageOutput[e.Package], e.Output)
 	case e.Action == "output":
-		r.output[t] = append(r.output[t], e.Output)
+		r.testOutput[id] = append(r.testOutput[id], e.Output)
 	case name == "" && e.Action == string(failed):
-		r.broken[e.Package] = r.loose[e.Package]
+		r.failedPackages[e.Package] = r.packageOutput[e.Package]
 	case name != "" && e.Test == name && (e.Action == string(passed) || e.Action == string(failed) || e.Action == string(skipped)):
-		r.outcomes[t] = worse(r.outcomes[t], outcome(e.Action))
+		r.outcomes[id] = combine(r.outcomes[id], outcome(e.Action))
 		if e.Action != string(failed) {
-			delete(r.output, t)
+			delete(r.testOutput, id)
 		}
 	}
 }
 
-// worse is the outcome of a test that ran several times.
-func worse(a, b outcome) outcome {
-	if a == failed {
-		return a
+// combine returns the outcome of a test that ran several times: failed if any run failed, else that of the last run.
+func combine(earlier, latest outcome) outcome {
+	if earlier == failed {
+		return earlier
 	}
-	return b
+	return latest
 }
 
 func (r *results) anyFailed(packages []string) bool {
 	for _, name := range packages {
-		if _, broken := r.broken[name]; broken {
+		if _, found := r.failedPackages[name]; found {
 			return true
 		}
 	}
 	return false
 }
 
-// judge prints each known failure with its outcome and all others that failed, and tells whether the run passes.
-func (r *results) judge(out io.Writer, known []knownFailure) error {
-	expected := map[test]bool{}
+// report prints each known failure with its outcome, the output of all other failures, and the counts. It returns an
+// error unless the run passes.
+func (r *results) report(out io.Writer, known []knownFailure) error {
+	expected := map[testID]bool{}
 	var faults []error
 	for _, k := range known {
-		expected[k.test] = true
-		was, ran := r.outcomes[k.test]
+		expected[k.testID] = true
+		result, ran := r.outcomes[k.testID]
 		if !ran {
-			faults = append(faults, fmt.Errorf("%v is listed in %s and does not exist", k.test, knownFile))
+			faults = append(faults, fmt.Errorf("%v is listed in %s and does not exist", k.testID, knownFile))
 			continue
 		}
-		fmt.Fprintf(out, "known failure: %v: %s (%s; %s)\n", k.test, was, k.cause, k.issue)
+		fmt.Fprintf(out, "known failure: %v: %s (%s; %s)\n", k.testID, result, k.cause, k.issue)
 	}
-	failing, count := r.failing(), map[outcome]int{}
-	for _, was := range r.outcomes {
-		count[was]++
+	failing, count := r.failingTests(), map[outcome]int{}
+	for _, result := range r.outcomes {
+		count[result]++
 	}
-	for _, t := range failing {
-		if !expected[t] {
-			fmt.Fprintf(out, "%s", strings.Join(r.output[t], ""))
-			faults = append(faults, fmt.Errorf("%v failed", t))
+	for _, id := range failing {
+		if !expected[id] {
+			fmt.Fprintf(out, "%s", strings.Join(r.testOutput[id], ""))
+			faults = append(faults, fmt.Errorf("%v failed", id))
 		}
 	}
-	for name, said := range r.broken {
-		if !r.explained(name) { // it does not build, or ended by itself
-			fmt.Fprint(out, strings.Join(said, ""))
+	for name, output := range r.failedPackages {
+		if !r.hasFailingTest(name) { // it does not build, or its process exited outside of a test
+			fmt.Fprint(out, strings.Join(output, ""))
 			faults = append(faults, fmt.Errorf("%s failed outside of its tests", name))
 		}
 	}
-	for _, t := range failing {
-		if expected[t] && r.panicked(t) { // its process has ended, and the tests behind it did not run
-			faults = append(faults, fmt.Errorf("%v is listed, but panics: other tests of its package did not run", t))
+	for _, id := range failing {
+		if expected[id] && r.panicked(id) { // the panic ended the process, so the tests after it did not run
+			faults = append(faults, fmt.Errorf("%v is listed, but panics: other tests of its package did not run", id))
 		}
 	}
 	unexpected := len(faults)
@@ -159,20 +166,20 @@
 	return errors.Join(faults...)
 }
 
-// failing are the tests that failed, in order.
-func (r *results) failing() (all []test) {
-	for t, was := range r.outcomes {
-		if was == failed {
-			all = append(all, t)
+// failingTests returns the tests that failed, sorted.
+func (r *results) failingTests() (failing []testID) {
+	for id, result := range r.outcomes {
+		if result == failed {
+			failing = append(failing, id)
 		}
 	}
-	sort.Slice(all, func(i, j int) bool { return all[i].String() < all[j].String() })
-	return all
+	sort.Slice(failing, func(i, j int) bool { return failing[i].String() < failing[j].String() })
+	return failing
 }
 
-// panicked tells whether a test ended its process.
-func (r *results) panicked(t test) bool {
-	for _, line := range r.output[t] {
+// panicked reports whether a test ended its process by a panic.
+func (r *results) panicked(id testID) bool {
+	for _, line := range r.testOutput[id] {
 		if strings.HasPrefix(line, "panic: ") {
 			return true
 		}
@@ -180,10 +187,10 @@
 	return false
 }
 
-// explained tells whether a package that failed did so by one of its tests.
-func (r *results) explained(name string) bool {
-	for t, was := range r.outcomes {
-		if t.pkg == name && was == failed {
+// hasFailingTest reports whether any test of a package failed.
+func (r *results) hasFailingTest(pkg string) bool {
+	for id, result := range r.outcomes {
+		if id.pkg == pkg && result == failed {
 			return true
 		}
 	}
