--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -1,5 +1,5 @@
-// Package logs holds the proxy's log: zerolog lines, written by a goroutine of their own so that a slow reader
-// of the log never holds up the engine.
+// Package logs writes the proxy's log as zerolog lines. A goroutine of its own does the writing, so that a slow reader
+// of the log does not block the engine.
 package logs
 
 import (
@@ -12,23 +12,28 @@
 	"github.com/rs/zerolog"
 )
 
-const waiting = 1024 // lines; more are dropped and counted
+// queueCapacity is the number of lines that may wait to be written. Further lines are dropped and counted.
+const queueCapacity = 1024
 
-// Sink is an io.Writer that never blocks.
+// closeTimeout limits the wait for the last lines to be written.
+const closeTimeout = time.Second
+
+// Sink is an io.Writer that never blocks. It drops lines while its queue is full.
 type Sink struct {
-	lines   chan []byte
-	dropped atomic.Int64
-	done    chan struct{}
-	once    sync.Once
+	lines     chan []byte   // waiting to be written; a nil line ends the writer
+	dropped   atomic.Int64  // lines since the last report of dropped lines
+	done      chan struct{} // closed when the writer has ended
+	closeOnce sync.Once
 }
 
 func init() {
-	zerolog.TimeFieldFormat = zerolog.TimeFormatUnixMs // zerolog has one for all loggers of a process
+	zerolog.TimeFieldFormat = zerolog.TimeFormatUnixMs // zerolog has one format for all loggers of a process
 }
 
-// New starts a log on out; level is zerolog's word for the least that is written, info if it is empty or unknown.
+// New starts a log that is written to out. Level is the zerolog name of the lowest level that is written; info if it is
+// empty or unknown.
 func New(out io.Writer, level string) (zerolog.Logger, *Sink) {
-	s := &Sink{lines: make(chan []byte, waiting), done: make(chan struct{})}
+	s := &Sink{lines: make(chan []byte, queueCapacity), done: make(chan struct{})}
 	go func() {
 		defer close(s.done)
 		for line := range s.lines {
@@ -41,35 +46,36 @@
 			}
 		}
 	}()
-	least, err := zerolog.ParseLevel(level)
+	minLevel, err := zerolog.ParseLevel(level)
 	if err != nil || level == "" {
-		least = zerolog.InfoLevel
+		minLevel = zerolog.InfoLevel
 	}
-	return zerolog.New(s).Level(least).With().Timestamp().Logger(), s
+	return zerolog.New(s).Level(minLevel).With().Timestamp().Logger(), s
 }
 
+// Write queues a copy of line, or drops it if the queue is full.
 func (s *Sink) Write(line []byte) (int, error) {
 	select {
-	case s.lines <- append([]byte(nil), line...): // zerolog uses its buffer again
+	case s.lines <- append([]byte(nil), line...): // zerolog reuses its buffer
 	default:
 		s.dropped.Add(1)
 	}
 	return len(line), nil
 }
 
-// Close writes out what waits, for a second at most: a log that nobody reads must not keep a proxy from ending.
+// Close writes the queued lines, for at most closeTimeout: a log that nobody reads must not keep a proxy from exiting.
 func (s *Sink) Close() {
-	s.once.Do(func() {
-		late := time.NewTimer(time.Second)
-		defer late.Stop()
+	s.closeOnce.Do(func() {
+		timeout := time.NewTimer(closeTimeout)
+		defer timeout.Stop()
 		select {
 		case s.lines <- nil:
-		case <-late.C:
+		case <-timeout.C:
 			return
 		}
 		select {
 		case <-s.done:
-		case <-late.C:
+		case <-timeout.C:
 		}
 	})
 }
