--- a/internal/daemon/engine_hang_test.go
+++ b/internal/daemon/engine_hang_test.go
@@ -191,7 +191,7 @@
 	slots := make(chan struct{}, maxParallelHangs)
 	for _, call := range []string{"request", "answer", "timer", "client-left", "list", "settings"} {
 		for _, stops := range []bool{false, true} {
-			t.Run(fmt.Sprintf("%s, ends %v", call, stops), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%s, stops %v", call, stops), func(t *testing.T) {
 				t.Parallel()
 				slots <- struct{}{}
 				defer func() { <-slots }()
--- a/internal/daemon/shutdown_test.go
+++ b/internal/daemon/shutdown_test.go
@@ -24,7 +24,7 @@
 // A shutdown must answer every op that it accepted, when its time is over or at a second stop signal. Here the caches
 // are stuck, one client does not read its replies, and nobody reads the log.
 func TestOpenOpsAreAnsweredAtShutdown(t *testing.T) {
-	for name, stopAgain := range map[string]bool{"its time is over": false, "told to stop again": true} {
+	for name, stopAgain := range map[string]bool{"time limit": false, "second stop signal": true} {
 		t.Run(name, func(t *testing.T) {
 			env := newTestEnv(t)
 			env.useSilentCaches()
@@ -244,17 +244,17 @@
 		reply string // of the caches; with an immediate miss, ops wait at the origin and in the queue for it
 		stop  bool   // the process is told to stop first, and has stopped reading commands
 	}{
-		"at a cache that turns it away":             {"-BUSY\r\n", false}, // another cache would be next
-		"at a cache that fails":                     {"-ERR failed\r\n", false},
-		"at a cache that misses":                    {missReply, false}, // the origin, and its queue, would be next
-		"at a cache, and the process ends":          {"-BUSY\r\n", true},
-		"at a cache that misses, as it ends":        {missReply, true},
-		"at a cache that breaks off, as it ends":    {"", true},
-		"at a cache that spoils its answer, and on": {"+what\r\n", false},
-		"in the queue for the origin":               {immediate + missReply, false},
-		"in the queue for the origin, as it ends":   {immediate + missReply, true},
-		"a write, in the queue for the origin":      {write, false},
-		"a write, in that queue, as it ends":        {write, true},
+		"at a cache that refuses it":                           {"-BUSY\r\n", false}, // another cache would be next
+		"at a cache that fails":                                {"-ERR failed\r\n", false},
+		"at a cache that misses":                               {missReply, false}, // the origin, and its queue, would be next
+		"at a cache that refuses it, shutting down":            {"-BUSY\r\n", true},
+		"at a cache that misses, shutting down":                {missReply, true},
+		"at a cache that closes its connection, shutting down": {"", true},
+		"at a cache with an invalid reply":                     {"+what\r\n", false},
+		"in the queue for the origin":                          {immediate + missReply, false},
+		"in the queue for the origin, shutting down":           {immediate + missReply, true},
+		"a write, in the queue for the origin":                 {write, false},
+		"a write, in the queue for the origin, shutting down":  {write, true},
 	} {
 		for _, cancelling := range []bool{true, false} {
 			t.Run(fmt.Sprintf("%s, cancelling %v", name, cancelling), func(t *testing.T) {
@@ -387,10 +387,10 @@
 // stop while it starts must serve who connects and then end.
 func TestSignalsThatCross(t *testing.T) {
 	for name, signals := range map[string][]syscall.Signal{
-		"to end, before it is ready":       {syscall.SIGTERM},
-		"to end, twice before it is ready": {syscall.SIGTERM, syscall.SIGTERM},
-		"a reload, then to end":            {syscall.SIGHUP, syscall.SIGTERM},
-		"to end, then a reload":            {syscall.SIGTERM, syscall.SIGHUP, syscall.SIGUSR1},
+		"stop before it is ready":        {syscall.SIGTERM},
+		"two stops before it is ready":   {syscall.SIGTERM, syscall.SIGTERM},
+		"reload, then stop":              {syscall.SIGHUP, syscall.SIGTERM},
+		"stop, then reload and counters": {syscall.SIGTERM, syscall.SIGHUP, syscall.SIGUSR1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -452,16 +452,16 @@
 func TestCacheDoesNotReceiveAnEndedOp(t *testing.T) {
 	const size = 512 << 10 // bytes; more than the cache's receive buffer, less than our system's send buffer
 	for name, end := range map[string]func(p *process, c net.Conn, r *bufio.Reader){
-		"its time is up": func(p *process, c net.Conn, r *bufio.Reader) {
+		"deadline": func(p *process, c net.Conn, r *bufio.Reader) {
 			if line, err := r.ReadString('\n'); err != nil || !strings.HasPrefix(line, "-") {
 				p.env.t.Errorf("%q, %v", line, err)
 			}
 		},
-		"its client leaves": func(p *process, c net.Conn, r *bufio.Reader) {
+		"client disconnects": func(p *process, c net.Conn, r *bufio.Reader) {
 			c.Close()
 			p.waitFor("no op in flight", func() bool { return p.metric("svc_in_flight") == 0 })
 		},
-		"its process ends": func(p *process, c net.Conn, r *bufio.Reader) {
+		"shutdown": func(p *process, c net.Conn, r *bufio.Reader) {
 			p.signals <- syscall.SIGTERM
 			if line, err := r.ReadString('\n'); err != nil || !strings.HasPrefix(line, "-") {
 				p.env.t.Errorf("%q, %v", line, err)
