--- a/lab/baseline/baseline.go
+++ b/lab/baseline/baseline.go
@@ -1,5 +1,5 @@
-// Package baseline holds plain rules that decide in the module's place, to compare it with. They keep the four rules as
-// far as a plain rule can, learn nothing, and are never part of the daemon.
+// Package baseline holds simple routing policies to compare the routing module with. They follow the rules on retries and
+// answers as far as a simple policy can, learn nothing, and are never part of the daemon.
 package baseline
 
 import (
@@ -12,238 +12,255 @@
 	"minttray/policy"
 )
 
-// Names are the rules there are. The last one is no rule to compare with: it sends any op on, whatever an earlier push may have
-// done, and stands for a planted fault that the ledger has to find.
+// Names are the names of the policies. The last one is not meant for comparisons: it repeats any op, whatever an earlier
+// push may have done, and is an injected fault that the ledger has to find.
 var Names = []string{"random", "rendezvous", "least", reckless}
 
 const reckless = "reckless"
 
+// maxCacheTries is the number of caches that an op is pushed to at most.
+const maxCacheTries = 2
+
+// server is a listed server.
 type server struct {
 	policy.Entry
-	out int
+	pushes int // in progress
 }
 
+// push is a push in progress.
 type push struct {
-	n  int
-	to uint32
-	at policy.Time
+	n      int // number of the push within its op
+	server uint32
 }
 
+// op is an op in progress.
 type op struct {
-	id     uint32
-	key    uint64
-	cat    *policy.Category
-	write  bool
-	aim    policy.Time
-	n      int
-	out    *push
-	tried  []uint32
-	ran    bool
-	missed bool
-	over   bool
-}
-
-// Rule is one baseline.
+	id         uint32
+	key        uint64
+	category   *policy.Category
+	write      bool
+	deadline   policy.Time
+	pushes     int   // so far
+	current    *push // nil if no push is in progress
+	tried      []uint32
+	mayHaveRun bool
+	missed     bool
+	answered   bool // or its client left
+}
+
+// Rule is a routing policy that takes the place of the routing module.
 type Rule struct {
 	policy.Settings
-	name   string
-	host   policy.Host
-	rnd    uint64
-	list   map[uint32]*server
-	ranks  []*server // listed caches, by id
-	origin *server
-	ops    map[uint32]*op
+	name    string
+	host    policy.Host
+	random  uint64 // state of the random number generator
+	servers map[uint32]*server
+	ready   []*server // listed caches that are ready, by ID
+	origin  *server   // nil if none is listed
+	ops     map[uint32]*op
 }
 
-// New makes one by its name.
+// New returns the policy with a name. It returns an error if there is none.
 func New(name string, s policy.Settings, seed uint64, h policy.Host) (*Rule, error) {
 	if !slices.Contains(Names, name) {
-		return nil, fmt.Errorf("%q is none of %s", name, strings.Join(Names, ", "))
+		return nil, fmt.Errorf("unknown baseline %q, expected one of %s", name, strings.Join(Names, ", "))
 	}
-	r := &Rule{Settings: s, name: name, host: h, rnd: seed | 1, list: map[uint32]*server{}, ops: map[uint32]*op{}}
+	r := &Rule{Settings: s, name: name, host: h, random: seed | 1, servers: map[uint32]*server{}, ops: map[uint32]*op{}}
 	if s.AskList {
 		h.Watch(true)
 	}
 	return r, nil
 }
 
-func mix(h uint64) uint64 {
+// mix64 is the finalizer of SplitMix64, a bijective hash.
+func mix64(h uint64) uint64 {
 	h = (h ^ h>>30) * 0xbf58476d1ce4e5b9
 	h = (h ^ h>>27) * 0x94d049bb133111eb
 	return h ^ h>>31
 }
 
-func (r *Rule) chance() uint64 {
-	r.rnd += 0x9e3779b97f4a7c15
-	return mix(r.rnd)
+// nextRandom returns the next random number.
+func (r *Rule) nextRandom() uint64 {
+	r.random += 0x9e3779b97f4a7c15
+	return mix64(r.random)
 }
 
-// ListArrived takes the list.
+// ListArrived updates the servers from a discovery list.
 func (r *Rule) ListArrived(kind policy.ListKind, entries []policy.Entry) {
 	if kind == policy.ListFailed {
 		return
 	}
 	if kind != policy.ListDelta {
-		for _, s := range r.list {
+		for _, s := range r.servers {
 			s.State = policy.Gone
 		}
 	}
 	for _, e := range entries {
-		if s := r.list[e.ID]; s != nil {
+		if s := r.servers[e.ID]; s != nil {
 			s.Entry = e
 		} else {
-			r.list[e.ID] = &server{Entry: e}
+			r.servers[e.ID] = &server{Entry: e}
 		}
 	}
-	r.ranks, r.origin = r.ranks[:0], nil
-	for id, s := range r.list {
+	r.ready, r.origin = r.ready[:0], nil
+	for id, s := range r.servers {
 		switch {
-		case s.State == policy.Gone && s.out == 0:
-			delete(r.list, id)
+		case s.State == policy.Gone && s.pushes == 0:
+			delete(r.servers, id)
 		case s.Kind == r.OriginKind && s.State != policy.Gone:
 			r.origin = s
 		case s.State == policy.Ready:
-			r.ranks = append(r.ranks, s)
+			r.ready = append(r.ready, s)
 		}
 	}
-	slices.SortFunc(r.ranks, func(a, b *server) int { return int(int64(a.ID) - int64(b.ID)) })
+	slices.SortFunc(r.ready, func(a, b *server) int { return int(int64(a.ID) - int64(b.ID)) })
 }
 
-// OpArrived takes an op.
-func (r *Rule) OpArrived(id uint32, key uint64, category, _ int, write, _ bool, left policy.Time) {
+// OpArrived starts an op that has to be answered within timeLeft.
+func (r *Rule) OpArrived(id uint32, key uint64, category, _ int, write, _ bool, timeLeft policy.Time) {
 	c := &r.Categories[min(category, len(r.Categories)-1)]
-	o := &op{id: id, key: key, cat: c, write: write, aim: r.host.Now() + left - r.Tick}
+	// The deadline is one tick early, so that the op ends before its client stops waiting.
+	o := &op{id: id, key: key, category: c, write: write, deadline: r.host.Now() + timeLeft - r.Tick}
 	r.ops[id] = o
-	r.next(o)
+	r.pushNext(o)
 }
 
-// choose picks a cache among those not tried yet.
+// Bits of the score of the "least" policy: the free places of a cache, then a random number to break ties.
+const (
+	maxCountedPushes = 1 << 20
+	tieBreakBits     = 40
+)
+
+// choose returns the cache with the highest score among the ready caches that were not tried, or nil.
 func (r *Rule) choose(o *op) *server {
 	var best *server
-	var most uint64
-	for _, s := range r.ranks {
+	var bestScore uint64
+	for _, s := range r.ready {
 		if s.State != policy.Ready || slices.Contains(o.tried, s.ID) {
 			continue
 		}
 		var score uint64
 		switch r.name {
 		case "random":
-			score = r.chance()
+			score = r.nextRandom()
 		case "rendezvous", reckless:
-			score = mix(o.key ^ mix(uint64(s.ID)))
+			score = mix64(o.key ^ mix64(uint64(s.ID)))
 		case "least":
-			score = uint64(1<<20-min(s.out, 1<<20-1))<<40 | r.chance()>>24
+			score = uint64(maxCountedPushes-min(s.pushes, maxCountedPushes-1))<<tieBreakBits | r.nextRandom()>>(64-tieBreakBits)
 		}
-		if best == nil || score > most {
-			best, most = s, score
+		if best == nil || score > bestScore {
+			best, bestScore = s, score
 		}
 	}
 	return best
 }
 
-const mostTries = 2 // at caches
-
-func (r *Rule) next(o *op) {
+// pushNext pushes an op to its next server, or gives it up.
+func (r *Rule) pushNext(o *op) {
 	now := r.host.Now()
-	var to *server
+	var target *server
 	switch {
-	case now >= o.aim || o.n >= r.MostPushes || o.ran && !r.repeatable(o):
+	case now >= o.deadline || o.pushes >= r.MostPushes || o.mayHaveRun && !r.repeatable(o):
 	case r.Aside && (o.write || o.missed):
-		to = r.origin
-	case len(o.tried) < mostTries:
-		to = r.choose(o)
+		target = r.origin
+	case len(o.tried) < maxCacheTries:
+		target = r.choose(o)
 	}
-	if to == nil {
+	if target == nil {
 		r.giveUp(o)
 		return
 	}
-	o.out = &push{o.n, to.ID, now}
-	if o.n++; to != r.origin {
-		o.tried = append(o.tried, to.ID)
+	o.current = &push{n: o.pushes, server: target.ID}
+	if o.pushes++; target != r.origin {
+		o.tried = append(o.tried, target.ID)
 	}
-	to.out++
-	r.host.Push(o.id, to.ID, o.aim)
+	target.pushes++
+	r.host.Push(o.id, target.ID, o.deadline)
 }
 
-// Record is empty: nothing is learned.
+// Record returns an empty record, as nothing is learned.
 func (r *Rule) Record(uint32) *evidence.Record { return &evidence.Record{} }
 
-// Learned is nothing.
+// Learned returns an empty state, as nothing is learned.
 func (r *Rule) Learned() warm.LearnedState { return warm.LearnedState{} }
 
-// Recall takes nothing.
+// Recall ignores the state of an earlier process.
 func (r *Rule) Recall(warm.LearnedState) {}
 
-// HandBack answers an op as the process ends.
+// HandBack answers an op at once, because the process ends.
 func (r *Rule) HandBack(id uint32) {
-	if o := r.ops[id]; o != nil && !o.over {
-		o.ran = o.ran || o.out != nil
+	if o := r.ops[id]; o != nil && !o.answered {
+		o.mayHaveRun = o.mayHaveRun || o.current != nil
 		r.giveUp(o)
 	}
 }
 
-// Retune takes new settings; open ops keep their category's rules.
+// Retune replaces the settings. Ops in progress keep the category that they started with.
 func (r *Rule) Retune(s policy.Settings) { r.Settings = s }
 
+// repeatable reports whether an op may be pushed again after it may have run.
 func (r *Rule) repeatable(o *op) bool {
-	return o.cat.Effect == policy.Redeliverable || r.name == reckless
+	return o.category.Effect == policy.Redeliverable || r.name == reckless
 }
 
-// Reported: none of the plain rules asks for load reports.
+// Reported does nothing: the policies use no load reports.
 func (r *Rule) Reported(uint32, policy.Time) {}
 
-// Probed: no rule probes.
+// Probed does nothing: the policies send no probes.
 func (r *Rule) Probed(uint32, bool, float64, float64) {}
 
-// PushEnded takes a push's outcome.
-func (r *Rule) PushEnded(id uint32, n int, how policy.Outcome, _, terminal bool, _ policy.Time) {
+// PushEnded processes the outcome of push n of an op.
+func (r *Rule) PushEnded(id uint32, n int, outcome policy.Outcome, _, terminal bool, _ policy.Time) {
 	o := r.ops[id]
-	if o == nil || o.out == nil || o.out.n != n {
+	if o == nil || o.current == nil || o.current.n != n {
 		return
 	}
-	if s := r.list[o.out.to]; s != nil {
-		s.out--
+	if s := r.servers[o.current.server]; s != nil {
+		s.pushes--
 	}
-	o.out = nil
-	o.ran = o.ran || !how.NotExecuted()
+	o.current = nil
+	o.mayHaveRun = o.mayHaveRun || !outcome.NotExecuted()
 	switch {
-	case terminal || o.over || how == policy.Acked:
+	case terminal || o.answered || outcome == policy.Acked:
 		delete(r.ops, id)
-	case how == policy.Miss:
+	case outcome == policy.Miss:
 		o.missed = true
-		r.next(o)
+		r.pushNext(o)
 	case o.missed || r.Aside && o.write: // the origin failed
 		r.giveUp(o)
 	default:
-		r.next(o)
+		r.pushNext(o)
 	}
 }
 
-// giveUp answers at once.
+// retryAfterDivisor makes the retry-after time of a nack from the target latency.
+const retryAfterDivisor = 4
+
+// giveUp answers an op with a nack if a repeat is harmless, and with an error otherwise.
 func (r *Rule) giveUp(o *op) {
-	o.over = true
-	if !o.ran || r.repeatable(o) || o.cat.Effect == policy.Deduplicated && o.cat.Group == policy.GroupAll {
-		r.host.Nack(o.id, min(o.cat.Target/4, r.MaxRetryAfter))
+	o.answered = true
+	if !o.mayHaveRun || r.repeatable(o) || o.category.Effect == policy.Deduplicated && o.category.Group == policy.GroupAll {
+		r.host.Nack(o.id, min(o.category.Target/retryAfterDivisor, r.MaxRetryAfter))
 	} else {
 		r.host.DeadLetter(o.id)
 	}
 	delete(r.ops, o.id)
 }
 
-// ClientLeft takes word that nobody waits any more.
+// ClientLeft cancels an op that no client waits for any more.
 func (r *Rule) ClientLeft(id uint32) {
 	if o := r.ops[id]; o != nil {
-		o.over = true
-		if o.out == nil {
+		o.answered = true
+		if o.current == nil {
 			delete(r.ops, id)
 		} else if r.Cancelling {
-			r.host.Cancel(id, o.out.n)
+			r.host.Cancel(id, o.current.n)
 		}
 	}
 }
 
-// TimerDue does nothing: a rule sets no timers.
+// TimerDue does nothing: the policies set no timers.
 func (r *Rule) TimerDue(uint64) {}
 
-// Judged has nothing to tell.
+// Judged returns zero counts: the policies count nothing.
 func (r *Rule) Judged() policy.Counts { return policy.Counts{} }
--- a/lab/ledger/history.go
+++ b/lab/ledger/history.go
@@ -5,15 +5,18 @@
 	"time"
 )
 
+// The names below appear in verdicts and histories. Their order is that of the constants.
+
 var answerNames = []string{"acked", "nacked", "dead-lettered", "closed", "foreign", "half", "crossed"}
 
 var endNames = []string{"answered", "missed", "refused", "failed", "dropped", "silent"}
 
 var stateNames = []string{"active", "leaving", "out"}
 
+// name returns the name of value i; values beyond the end have the last name.
 func name(names []string, i uint32) string { return names[min(int(i), len(names)-1)] }
 
-// String is a record as histories show it.
+// String formats a record as a line of an op's history.
 func (r Record) String() string {
 	at := r.At.Round(100 * time.Microsecond)
 	switch r.Kind {
--- a/lab/ledger/judge.go
+++ b/lab/ledger/judge.go
@@ -8,165 +8,202 @@
 )
 
 const (
-	keep         = 3 * time.Second // an op is kept so long past its TTL, to see what still comes for it
-	mostFindings = 20
-	leftWithin   = 300 * time.Millisecond // from a client's leaving until nothing is sent on for it
+	// opRetention is how long past its TTL an op is held, to see late records of it.
+	opRetention = 3 * time.Second
+	// maxFindings bounds the findings that a verdict describes in detail.
+	maxFindings = 20
+	// clientLeftDelay is the time from a client's leaving after which nothing may be pushed for it.
+	clientLeftDelay = 300 * time.Millisecond
 
-	// What a passed deadline may have over what is left to the client: the operators' 150 ms, and some for the machine between the
-	// client, the proxy and the server. It is no setting: with the wide slack of short experiments nothing would be judged.
+	// deadlineTolerance is how far a forwarded deadline may exceed the time that the client has left: the operators' 150 ms,
+	// and 50 ms for delays of the machine between client, proxy and server. It is a constant rather than a setting because
+	// with the large slack of short experiments no deadline would be checked.
 	deadlineTolerance = 150*time.Millisecond + 50*time.Millisecond
 )
 
-type entry struct {
-	op     uint64
-	events []Record
-	until  time.Duration
-	sent   bool
+// opRecords holds the records of one op until it is checked.
+type opRecords struct {
+	op      uint64
+	records []Record
+	until   time.Duration // the end of the client's wait, or the time of the last record if that is later
+	sent    bool          // there is an OpSent record
 }
 
+// server is the state of a server since its last start.
 type server struct {
-	start    time.Duration
-	capacity float64 // cores
-	cold     bool
-	work     []Record // of its cold time
+	startedAt time.Duration
+	capacity  float64 // cores
+	cold      bool
+	coldWork  []Record // pushes received during warm-up
 }
 
-type told struct {
+// stateChange is a change of a state at a time.
+type stateChange struct {
 	at    time.Duration
 	state uint32
 }
 
-// Judge goes through a ledger's records. Its verdict hangs on times, not on the order of lines.
+// interval is a span of time.
+type interval struct {
+	start time.Duration
+	end   time.Duration // math.MaxInt64 if it has not ended
+}
+
+// proxyServer identifies a server as seen by a proxy process.
+type proxyServer struct {
+	proxy  uint32
+	server uint32
+}
+
+// Judge checks the records of a ledger. Its verdict depends on the times of records, not on their order.
 type Judge struct {
-	terms   RuleParams
-	open    map[uint64]*entry
-	due     []*entry // in the order of their first record
-	gone    map[uint32]Record
-	told    map[[2]uint32][]told
-	hands   map[[2]uint32][]told // by operators
-	stalls  map[uint32][]told    // 1: it stands still
-	blind   []told               // 1: one more way is broken
-	servers map[uint32]*server
-	now     time.Duration
-	v       Verdict
+	params     RuleParams
+	open       map[uint64]*opRecords
+	queue      []*opRecords // open ops, in the order of their first record
+	exits      map[uint32]Record
+	announced  map[proxyServer][]stateChange // by discovery
+	overrides  map[proxyServer][]stateChange // by operators: 1 if the server is detached
+	stalls     map[uint32][]stateChange      // by proxy process: 1 if it is stopped
+	linkFaults []stateChange                 // 1 at the start of a fault, 0 at its end
+	servers    map[uint32]*server
+	now        time.Duration // time of the latest record
+	verdict    Verdict
 }
 
-// NewJudge makes one.
-func NewJudge(t RuleParams) *Judge {
-	return &Judge{terms: t, open: map[uint64]*entry{}, gone: map[uint32]Record{}, told: map[[2]uint32][]told{}, hands: map[[2]uint32][]told{},
-		servers: map[uint32]*server{}, stalls: map[uint32][]told{}, v: Verdict{Answers: map[string]int{}, Violations: map[string]int{}}}
+// NewJudge returns a Judge that checks rules with parameters p.
+func NewJudge(p RuleParams) *Judge {
+	return &Judge{
+		params:    p,
+		open:      map[uint64]*opRecords{},
+		exits:     map[uint32]Record{},
+		announced: map[proxyServer][]stateChange{},
+		overrides: map[proxyServer][]stateChange{},
+		servers:   map[uint32]*server{},
+		stalls:    map[uint32][]stateChange{},
+		verdict: Verdict{
+			Answers:    map[string]int{},
+			Violations: map[string]int{},
+		},
+	}
 }
 
-// Add takes the next record.
+// compareTimes orders state changes by time.
+func compareTimes(a, b stateChange) int { return int(a.at - b.at) }
+
+// Add processes the next record, and checks the ops that are complete by its time.
 func (j *Judge) Add(r Record) {
 	j.now = max(j.now, r.At)
 	switch r.Kind {
 	case StateAnnounced:
-		k := [2]uint32{r.A, r.B}
-		j.told[k] = append(j.told[k], told{r.At, r.C})
-		slices.SortStableFunc(j.told[k], func(a, b told) int { return int(a.at - b.at) })
+		key := proxyServer{proxy: r.A, server: r.B}
+		j.announced[key] = append(j.announced[key], stateChange{r.At, r.C})
+		slices.SortStableFunc(j.announced[key], compareTimes)
 	case OperatorOverride:
-		k := [2]uint32{r.A, r.B}
-		j.hands[k] = append(j.hands[k], told{r.At, r.C})
-		slices.SortStableFunc(j.hands[k], func(a, b told) int { return int(a.at - b.at) })
+		key := proxyServer{proxy: r.A, server: r.B}
+		j.overrides[key] = append(j.overrides[key], stateChange{r.At, r.C})
+		slices.SortStableFunc(j.overrides[key], compareTimes)
 	case ProxyStalled:
-		j.stalls[r.A] = append(j.stalls[r.A], told{r.At, r.C})
+		j.stalls[r.A] = append(j.stalls[r.A], stateChange{r.At, r.C})
 	case LinkFault:
 		at := r.At
-		if r.C == 0 { // what was out when the way broke is waited for
-			at += j.longest()
+		if r.C == 0 { // a push that was in progress when the fault began is waited for after it
+			at += j.maxTTL()
 		}
-		j.blind = append(j.blind, told{at, r.C})
+		j.linkFaults = append(j.linkFaults, stateChange{at, r.C})
 	case ServerStarted:
-		j.warm(r.A)
-		j.servers[r.A] = &server{start: r.At, capacity: float64(r.B) / 1000, cold: r.C == 1}
+		j.checkColdStart(r.A)
+		j.servers[r.A] = &server{startedAt: r.At, capacity: float64(r.B) / 1000, cold: r.C == 1}
 	case ProxyExited:
-		j.gone[r.A] = r
+		j.exits[r.A] = r
 	case RunFinished:
-		j.v.Complete = true
+		j.verdict.Complete = true
 	default:
 		e := j.open[r.Op]
 		if e == nil {
-			e = &entry{op: r.Op}
+			e = &opRecords{op: r.Op}
 			j.open[r.Op] = e
-			j.due = append(j.due, e)
-			j.v.MaxOpenOps = max(j.v.MaxOpenOps, len(j.open))
+			j.queue = append(j.queue, e)
+			j.verdict.MaxOpenOps = max(j.verdict.MaxOpenOps, len(j.open))
 		}
-		e.events = append(e.events, r)
+		e.records = append(e.records, r)
 		if r.Kind == OpSent {
 			e.sent = true
 			e.until = r.At + time.Duration(r.C)*time.Microsecond
 		}
 		e.until = max(e.until, r.At)
 		if r.Kind == PushReceived {
-			j.v.Pushes++
-			if s := j.servers[r.A]; s != nil && s.cold && r.At-s.start < j.terms.WarmUp {
-				s.work = append(s.work, r)
+			j.verdict.Pushes++
+			if s := j.servers[r.A]; s != nil && s.cold && r.At-s.startedAt < j.params.WarmUp {
+				s.coldWork = append(s.coldWork, r)
 			}
 		}
 	}
-	for len(j.due) > 0 && j.now > j.due[0].until+j.longest()+keep {
-		j.close(j.due[0])
-		j.due = j.due[1:]
+	for len(j.queue) > 0 && j.now > j.queue[0].until+j.maxTTL()+opRetention {
+		j.checkOp(j.queue[0])
+		j.queue = j.queue[1:]
 	}
 }
 
-func (j *Judge) longest() (ttl time.Duration) {
-	for _, c := range j.terms.Categories {
+// maxTTL returns the longest TTL of all categories.
+func (j *Judge) maxTTL() (ttl time.Duration) {
+	for _, c := range j.params.Categories {
 		ttl = max(ttl, c.TTL)
 	}
 	return ttl
 }
 
-// Finish gives the verdict.
+// Finish checks the remaining ops and returns the verdict.
 func (j *Judge) Finish() *Verdict {
-	for _, e := range j.due {
-		j.close(e)
+	for _, e := range j.queue {
+		j.checkOp(e)
 	}
-	j.due = nil
+	j.queue = nil
 	for id := range j.servers {
-		j.warm(id)
+		j.checkColdStart(id)
 	}
-	return &j.v
+	return &j.verdict
 }
 
-func (j *Judge) find(rule string, e *entry, format string, args ...any) {
-	j.v.Violations[rule]++
-	if len(j.v.Findings) >= mostFindings {
+// report counts a violation of a rule, and describes it unless maxFindings are described already. e may be nil.
+func (j *Judge) report(rule string, e *opRecords, format string, args ...any) {
+	j.verdict.Violations[rule]++
+	if len(j.verdict.Findings) >= maxFindings {
 		return
 	}
 	f := Finding{Rule: rule, Message: fmt.Sprintf(format, args...)}
 	if e != nil {
 		f.Op = fmt.Sprintf("%016x", e.op)
-		for _, r := range e.events {
+		for _, r := range e.records {
 			f.History = append(f.History, r.String())
 		}
 	}
-	j.v.Findings = append(j.v.Findings, f)
+	j.verdict.Findings = append(j.verdict.Findings, f)
 }
 
-// stood tells whether a proxy's process stood still between two moments.
-func (j *Judge) stood(proxy uint32, from, to time.Duration) bool {
-	return overlap(j.stalls[proxy], from, to)
+// stalledBetween reports whether a proxy process was stopped at any time between two moments.
+func (j *Judge) stalledBetween(proxy uint32, from, to time.Duration) bool {
+	return activeBetween(j.stalls[proxy], from, to)
 }
 
-func overlap(events []told, from, to time.Duration) bool {
-	return slices.ContainsFunc(spans(events), func(s [2]time.Duration) bool { return s[0] < to && s[1] > from })
+// activeBetween reports whether anything that changes start and end is in progress at any time between two moments.
+func activeBetween(changes []stateChange, from, to time.Duration) bool {
+	return slices.ContainsFunc(intervals(changes), func(i interval) bool { return i.start < to && i.end > from })
 }
 
-// spans are the times in which one thing at least has begun and not ended; events come in any order.
-func spans(events []told) (all [][2]time.Duration) {
-	events = slices.Clone(events)
-	slices.SortStableFunc(events, func(a, b told) int { return int(a.at - b.at) })
-	open := 0
-	for _, e := range events {
-		if e.state == 1 {
-			if open++; open == 1 {
-				all = append(all, [2]time.Duration{e.at, math.MaxInt64})
+// intervals returns the times in which at least one thing has begun (state 1) and not ended (state 0). The changes may
+// come in any order.
+func intervals(changes []stateChange) (result []interval) {
+	changes = slices.Clone(changes)
+	slices.SortStableFunc(changes, compareTimes)
+	active := 0
+	for _, c := range changes {
+		if c.state == 1 {
+			if active++; active == 1 {
+				result = append(result, interval{c.at, math.MaxInt64})
 			}
-		} else if open--; open == 0 {
-			all[len(all)-1][1] = e.at
+		} else if active--; active == 0 {
+			result[len(result)-1].end = c.at
 		}
 	}
-	return all
+	return result
 }
--- a/lab/ledger/ledger.go
+++ b/lab/ledger/ledger.go
@@ -1,6 +1,6 @@
-// Package ledger writes down what clients sent, what servers were sent and what clients got, and judges the four
-// rules from that alone. It streams to disk: only ops that are still open are held in memory, so that a run of
-// tens of millions fits, and one that was cut short can be judged all the same.
+// Package ledger records on disk what clients sent, what servers received and what clients were answered, and checks
+// the routing rules from these records alone. Records are streamed: the checker holds only open ops in memory, so it can
+// process runs of tens of millions of ops, and runs that were cut short.
 package ledger
 
 import (
@@ -14,129 +14,163 @@
 	"time"
 )
 
-// Kind is what a record tells.
+// Kind is the type of event that a record describes. Its number is stored on disk.
 type Kind uint8
 
-// The kinds, with what A, B and C hold.
+// The kinds of records, with the meaning of the record's fields A, B and C. A proxy process is identified by a number
+// that is unique over all proxies and restarts of a run.
 const (
-	OpSent     Kind = iota // an op's last byte is written to an accepted connection: A proxy life, B category, C wait in µs
-	OpAnswered               // its client got: A an Answers value, B come-back in ms
-	ClientLeft                 // its client went away by itself: A 1 if it closed its connection, and the way to the proxy is whole
-	PushReceived                 // a server has a push's last byte: A server, B connection, C work in µs
-	PushEnded                 // a push is over there: A server, B connection, C an Ends value
-	StateAnnounced                 // a proxy was told of a server: A proxy life, B server, C a States value
-	ServerStarted              // a server started: A server, B its capacity in thousandths of a core, C 1 if it is cold
-	ProxyExited                 // a proxy's process ended: A proxy life, C a Deaths value
-	WriteApplied               // a write was carried out: A server
-	RunFinished             // the run was whole
-	OperatorOverride                 // an operator was told yes: A proxy life, B server, C 1 for out, 0 for back
-	ProxyStalled              // a proxy's process was stopped, or goes on: A proxy life, C 1 or 0
-	LinkFault                // ways between processes break, or are whole again: C 1 or 0; pushes on them may be seen by nobody
-	DeadlineForwarded               // the deadline that a push passed to its server: A server, B connection, C in µs, 0 for none
+	// OpSent: a client is about to write a try to an open connection. A is the proxy process, B the category, C the time
+	// that the client waits, in µs.
+	OpSent Kind = iota
+	// OpAnswered: the client received an answer or lost its connection. A is one of the Answer constants, B the retry-after
+	// time in ms.
+	OpAnswered
+	// ClientLeft: the client stopped waiting by itself. A is 1 if it closed its connection and no link fault hides that
+	// from the proxy.
+	ClientLeft
+	// PushReceived: a server received the last byte of a push. A is the server, B the connection, C the work in µs.
+	PushReceived
+	// PushEnded: a push is over at its server. A is the server, B the connection, C one of the End constants.
+	PushEnded
+	// StateAnnounced: a proxy was sent a server's new state. A is the proxy process, B the server, C one of the State
+	// constants.
+	StateAnnounced
+	// ServerStarted: a server started. A is the server, B its capacity in thousandths of a core, C is 1 if its cache is cold.
+	ServerStarted
+	// ProxyExited: a proxy process ended. A is the proxy process, C one of the Exit constants.
+	ProxyExited
+	// WriteApplied: a server carried out a write. A is the server.
+	WriteApplied
+	// RunFinished: the run ended regularly; the ledger is complete.
+	RunFinished
+	// OperatorOverride: a proxy confirmed an operator's command. A is the proxy process, B the server, C is 1 if the server
+	// is detached, 0 if it is attached again.
+	OperatorOverride
+	// ProxyStalled: a proxy process was stopped (C is 1) or resumed (C is 0). A is the proxy process.
+	ProxyStalled
+	// LinkFault: a fault of a network link begins (C is 1) or ends (C is 0). Pushes on a faulty link may reach no server.
+	LinkFault
+	// DeadlineForwarded: the deadline that a push carried to its server. A is the server, B the connection, C the deadline
+	// in µs, 0 if the push had none.
+	DeadlineForwarded
 )
 
-// Answers are what a client can get.
+// Answers that a client can receive.
 const (
 	AnswerAcked = iota
 	AnswerNacked
-	AnswerDeadLettered    // an error: no promise
-	AnswerClosed  // the connection ended with the answer owed
-	AnswerWrongValue // a value that was made for another op, or for none
-	AnswerTruncated    // a value that began and did not end
-	AnswerIdleClosed // a connection used before ended as the op was written: a proxy may close one between ops
+	AnswerDeadLettered // an error reply: the op may or may not have run
+	AnswerClosed       // the connection ended before the answer
+	AnswerWrongValue   // a value that was not made for this op
+	AnswerTruncated    // a value whose end is missing
+	AnswerIdleClosed   // a reused connection ended as the op was written: a proxy may close idle connections
 )
 
-// Ends are how a push is over at its server.
+// Ways in which a push ends at its server.
 const (
 	EndAnswered = iota
 	EndMissed
-	EndRefused // never ran
+	EndRefused // the push did not run
 	EndFailed
-	EndConnLost // the connection ended
-	EndUnanswered  // no answer will ever come; the connection is still open
+	EndConnLost
+	EndUnanswered // the server will never answer, and the connection stays open
 )
 
-// States are what a list can say of a server.
+// States of a server in the discovery list.
 const (
 	StateActive = iota
 	StateLeaving
 	StateOut
 )
 
-// Deaths are how a proxy's process ended.
+// Ways in which a proxy process ends.
 const (
-	ExitCrashed    = iota // by itself
-	ExitKilled            // by SIGKILL, with no warning that counts: what it held is excused
-	ExitTerminated        // after SIGTERM, by itself or by the SIGKILL that follows: nothing that it held is excused
+	// ExitCrashed: the process ended by itself.
+	ExitCrashed = iota
+	// ExitKilled: SIGKILL without an earlier SIGTERM. The ops that the process held are excused.
+	ExitKilled
+	// ExitTerminated: the process ended after SIGTERM, by itself or by a later SIGKILL. The ops that it held are not excused.
+	ExitTerminated
 )
 
-// Record is one line of the ledger.
+// Record is one entry of the ledger.
 type Record struct {
 	Kind    Kind
-	At      time.Duration // on the run's one monotonic clock
-	Op      uint64
-	A, B, C uint32
+	At      time.Duration // on the run's monotonic clock
+	Op      uint64        // identifies the try; 0 if the record belongs to none
+	A, B, C uint32        // their meaning depends on Kind
 }
 
-const size = 32 // of a record on disk
+const (
+	recordSize = 32      // bytes of a record on disk
+	bufferSize = 1 << 20 // bytes of the buffers for reading and writing
+)
 
-// Writer takes records from any goroutine; it never waits for the disk while there is room in its buffer.
+// Writer appends records to a ledger file. It is safe for concurrent use, and blocks on the disk only when its buffer is
+// full.
 type Writer struct {
-	mu   sync.Mutex
-	out  *bufio.Writer
-	file *os.File
-	err  error
-	n    int64
+	mu      sync.Mutex
+	buffer  *bufio.Writer
+	file    *os.File
+	err     error // the first write error
+	written int64 // records
 }
 
-// Create starts a ledger in a file.
+// Create creates a ledger file, replacing an existing one.
 func Create(path string) (*Writer, error) {
 	f, err := os.Create(path)
 	if err != nil {
 		return nil, err
 	}
-	return &Writer{out: bufio.NewWriterSize(f, 1<<20), file: f}, nil
+	return &Writer{buffer: bufio.NewWriterSize(f, bufferSize), file: f}, nil
 }
 
-// Append writes a record down. An error of the disk is kept, and voids the run.
-func (b *Writer) Append(r Record) {
-	var raw [size]byte
+// Append writes a record. A write error is kept and returned by Close; later records are discarded.
+func (w *Writer) Append(r Record) {
+	var raw [recordSize]byte
 	raw[0] = byte(r.Kind)
 	binary.LittleEndian.PutUint64(raw[4:], uint64(r.At))
 	binary.LittleEndian.PutUint64(raw[12:], r.Op)
 	binary.LittleEndian.PutUint32(raw[20:], r.A)
 	binary.LittleEndian.PutUint32(raw[24:], r.B)
 	binary.LittleEndian.PutUint32(raw[28:], r.C)
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.err == nil {
-		_, b.err = b.out.Write(raw[:])
-		b.n++
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if w.err == nil {
+		_, w.err = w.buffer.Write(raw[:])
+		w.written++
 	}
 }
 
-// Close ends the ledger, and tells how many records it has and whether the disk took them all.
-func (b *Writer) Close() (int64, error) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.n, errors.Join(b.err, b.out.Flush(), b.file.Close())
+// Close flushes and closes the file. It returns the number of records, and an error if any of them could not be written.
+func (w *Writer) Close() (int64, error) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.written, errors.Join(w.err, w.buffer.Flush(), w.file.Close())
 }
 
-// Read hands on a ledger's records in the order in which they were written. A last one that is cut short is passed
-// over: the run ended there.
+// Read calls each with the records of a ledger, in the order in which they were written. A truncated last record is
+// ignored: the run was cut short there.
 func Read(in io.Reader, each func(Record)) error {
-	r := bufio.NewReaderSize(in, 1<<20)
+	r := bufio.NewReaderSize(in, bufferSize)
 	for {
-		var raw [size]byte
+		var raw [recordSize]byte
 		if _, err := io.ReadFull(r, raw[:]); err == io.EOF || err == io.ErrUnexpectedEOF {
 			return nil
 		} else if err != nil {
 			return err
 		}
 		if raw[0] > byte(DeadlineForwarded) {
-			return fmt.Errorf("a record of unknown kind %d", raw[0])
+			return fmt.Errorf("ledger record of unknown kind %d, the highest known is %d", raw[0], DeadlineForwarded)
 		}
-		each(Record{Kind(raw[0]), time.Duration(binary.LittleEndian.Uint64(raw[4:])), binary.LittleEndian.Uint64(raw[12:]),
-			binary.LittleEndian.Uint32(raw[20:]), binary.LittleEndian.Uint32(raw[24:]), binary.LittleEndian.Uint32(raw[28:])})
+		each(Record{
+			Kind: Kind(raw[0]),
+			At:   time.Duration(binary.LittleEndian.Uint64(raw[4:])),
+			Op:   binary.LittleEndian.Uint64(raw[12:]),
+			A:    binary.LittleEndian.Uint32(raw[20:]),
+			B:    binary.LittleEndian.Uint32(raw[24:]),
+			C:    binary.LittleEndian.Uint32(raw[28:]),
+		})
 	}
 }
--- a/lab/ledger/ledger_test.go
+++ b/lab/ledger/ledger_test.go
@@ -13,199 +13,246 @@
 
 const ms = time.Millisecond
 
-var terms = RuleParams{
-	Categories: []Category{{TTL: 500 * ms, MaxRefusalDelay: 200 * ms, Effect: "redeliverable"}, {TTL: 500 * ms, Effect: "at-most-once"},
-		{TTL: 500 * ms, Effect: "deduplicated", DedupWindow: 200 * ms, ZoneScopedDedup: true}},
-	ServerZone: map[uint32]int{1: 0, 2: 1, 3: 0}, DrainGrace: 100 * ms, OverloadFactor: 3, OverloadWindow: 1000 * ms, ColdCapacityShare: 0.3,
-	WarmUp: 4000 * ms, MaxPushes: 3, Slack: 10 * ms,
+var testParams = RuleParams{
+	Categories: []Category{
+		{TTL: 500 * ms, MaxRefusalDelay: 200 * ms, Effect: "redeliverable"},
+		{TTL: 500 * ms, Effect: "at-most-once"},
+		{TTL: 500 * ms, Effect: "deduplicated", DedupWindow: 200 * ms, ZoneScopedDedup: true},
+	},
+	ServerZone:        map[uint32]int{1: 0, 2: 1, 3: 0},
+	DrainGrace:        100 * ms,
+	OverloadFactor:    3,
+	OverloadWindow:    1000 * ms,
+	ColdCapacityShare: 0.3,
+	WarmUp:            4000 * ms,
+	MaxPushes:         3,
+	Slack:             10 * ms,
 }
 
-var kinds = map[string]Kind{"sent": OpSent, "left": ClientLeft, "push": PushReceived, "over": PushEnded, "told": StateAnnounced, "started": ServerStarted, "gone": ProxyExited, "hand": OperatorOverride, "stalled": ProxyStalled, "blind": LinkFault, "passed": DeadlineForwarded}
-var hows = map[string]uint32{"acked": AnswerAcked, "nacked": AnswerNacked, "dead": AnswerDeadLettered, "closed": AnswerClosed, "foreign": AnswerWrongValue, "half": AnswerTruncated,
-	"crossed": AnswerIdleClosed, "answered": EndAnswered, "missed": EndMissed, "refused": EndRefused, "failed": EndFailed, "dropped": EndConnLost, "silent": EndUnanswered,
-	"leaving": StateLeaving, "out": StateOut, "active": StateActive}
+// kindWords are the words for kinds of records. A word of valueWords in their place is an answer.
+var kindWords = map[string]Kind{
+	"sent":       OpSent,
+	"clientleft": ClientLeft,
+	"push":       PushReceived,
+	"ended":      PushEnded,
+	"state":      StateAnnounced,
+	"started":    ServerStarted,
+	"exited":     ProxyExited,
+	"override":   OperatorOverride,
+	"stalled":    ProxyStalled,
+	"linkfault":  LinkFault,
+	"deadline":   DeadlineForwarded,
+}
+
+// valueWords are the words for answers, ends of pushes and states of servers.
+var valueWords = map[string]uint32{
+	"acked":        AnswerAcked,
+	"nacked":       AnswerNacked,
+	"deadlettered": AnswerDeadLettered,
+	"closed":       AnswerClosed,
+	"wrongvalue":   AnswerWrongValue,
+	"truncated":    AnswerTruncated,
+	"idleclosed":   AnswerIdleClosed,
+	"answered":     EndAnswered,
+	"missed":       EndMissed,
+	"refused":      EndRefused,
+	"failed":       EndFailed,
+	"connlost":     EndConnLost,
+	"unanswered":   EndUnanswered,
+	"leaving":      StateLeaving,
+	"out":          StateOut,
+	"active":       StateActive,
+}
 
-// history reads lines such as "120 push s1 c7" (ms, what, server, connection); ops are op 1 unless "op2" is said.
-func history(t *testing.T, text string) (all []Record) {
-	for _, line := range strings.Split(strings.TrimSpace(text), ";") {
-		w := strings.Fields(line)
+// parseRecords parses records that are separated by semicolons, such as "120 push s1 c7": the time in ms, the kind, and
+// parameters: s1 is server 1, c7 connection 7, p1 proxy process 1, cat1 category 1, work900 a work of 900 ms, 390ms a
+// deadline, op2 op 2 (without it, a record belongs to op 1).
+func parseRecords(t *testing.T, text string) (records []Record) {
+	for _, recordText := range strings.Split(strings.TrimSpace(text), ";") {
+		words := strings.Fields(recordText)
 		var at int
-		fmt.Sscan(w[0], &at)
+		fmt.Sscan(words[0], &at)
 		r := Record{At: time.Duration(at) * ms, Op: 1, Kind: OpAnswered}
-		if k, ok := kinds[w[1]]; ok {
-			r.Kind = k
-		} else if h, ok := hows[w[1]]; ok {
-			r.A = h
+		if kind, ok := kindWords[words[1]]; ok {
+			r.Kind = kind
+		} else if value, ok := valueWords[words[1]]; ok {
+			r.A = value
 		} else {
-			t.Fatalf("unknown word %q", w[1])
+			t.Fatalf("unknown word %q", words[1])
 		}
 		if r.Kind == OpSent {
 			r.A, r.C = 1, 400_000
 		}
-		for _, x := range w[2:] {
+		for _, word := range words[2:] {
 			var n uint32
-			fmt.Sscan(strings.TrimLeft(x, "abcdefghijklmnopqrstuvwxyz"), &n)
+			fmt.Sscan(strings.TrimLeft(word, "abcdefghijklmnopqrstuvwxyz"), &n)
+			value, isValue := valueWords[word]
 			switch {
-			case strings.HasPrefix(x, "op"):
+			case strings.HasPrefix(word, "op"):
 				r.Op = uint64(n)
-			case strings.HasPrefix(x, "cat"):
+			case strings.HasPrefix(word, "cat"):
 				r.B = n
-			case strings.HasPrefix(x, "work"), r.Kind == DeadlineForwarded && strings.HasSuffix(x, "ms"):
+			case strings.HasPrefix(word, "work"), r.Kind == DeadlineForwarded && strings.HasSuffix(word, "ms"):
 				r.C = n * 1000
-			case strings.HasPrefix(x, "cold"):
+			case strings.HasPrefix(word, "cold"):
 				r.B, r.C = 1000, 1
-			case strings.HasPrefix(x, "meant"):
+			case word == "on":
 				r.C = 1
-			case x == "warned":
+			case word == "killed":
+				r.C = ExitKilled
+			case word == "terminated":
 				r.C = ExitTerminated
-			case x == "closing":
+			case word == "closes":
 				r.A = 1
-			case hows[x] > 0 || x == "answered" || x == "active":
-				r.C = hows[x]
-			case x[0] == 'p':
+			case isValue:
+				r.C = value
+			case word[0] == 'p':
 				r.A = n
-			case x[0] == 's' && (r.Kind == StateAnnounced || r.Kind == OperatorOverride):
+			case word[0] == 's' && (r.Kind == StateAnnounced || r.Kind == OperatorOverride):
 				r.B = n
-			case x[0] == 's':
+			case word[0] == 's':
 				r.A = n
-			case x[0] == 'c':
+			case word[0] == 'c':
 				r.B = n
 			}
 		}
-		all = append(all, r)
+		records = append(records, r)
 	}
-	return all
+	return records
 }
 
-// Each rule's breach is caught by its name, and a right proxy is not accused.
+// TestVerdicts checks that each violation is found under its rule, and that nothing else is reported, in whatever order the
+// records come.
 func TestVerdicts(t *testing.T) {
-	for _, c := range []struct{ name, text, broken string }{
-		{"served", "0 sent; 5 push s1 c1; 20 over s1 c1 answered; 21 acked", ""},
-		{"a miss, then the origin", "0 sent; 5 push s1 c1; 8 over s1 c1 missed; 9 push s0 c2; 40 over s0 c2 answered; 41 acked", ""},
-		{"passes what is left", "0 sent; 5 push s1 c1; 5 passed s1 c1 390ms; 105 over s1 c1 missed; 106 push s0 c2; 106 passed s0 c2 290ms; 140 over s0 c2 answered; 141 acked", ""},
-		{"passes a little more, within what is tolerated", "0 sent; 300 push s1 c1; 300 passed s1 c1 300ms; 320 over s1 c1 answered; 321 acked", ""},
-		{"passes the client's own deadline with a retry", "0 sent; 5 push s1 c1; 5 passed s1 c1 390ms; 205 over s1 c1 missed; 206 push s0 c2; 206 passed s0 c2 400ms; 240 over s0 c2 answered; 241 acked", RuleDeadline},
-		{"passes more than is left with a first attempt", "0 sent; 300 push s1 c1; 300 passed s1 c1 301ms; 320 over s1 c1 answered; 321 acked", RuleDeadline},
-		{"passes no deadline", "0 sent; 5 push s1 c1; 5 passed s1 c1; 20 over s1 c1 answered; 21 acked", RuleDeadline},
-		{"the client goes away", "0 sent; 5 push s1 c1; 30 left; 31 over s1 c1 dropped", ""},
-		{"sends on for a client that has left", "0 sent; 5 push s1 c1; 30 left closing; 20 over s1 c1 refused; 341 push s2 c2; 350 over s2 c2 answered", RulePushAfterClientLeft},
-		{"sends on for it before it can know", "0 sent; 5 push s1 c1; 30 left closing; 20 over s1 c1 refused; 339 push s2 c2; 350 over s2 c2 answered", ""},
-		{"sends on first for one that has left", "0 sent; 30 left closing; 341 push s2 c2; 350 over s2 c2 answered", RulePushAfterClientLeft},
-		{"sends on for it, having stood still", "0 sent; 30 left closing; 20 stalled p1 meant; 340 stalled p1; 341 push s2 c2; 350 over s2 c2 answered", ""},
-		{"what it began runs on", "0 sent cat1; 5 push s1 c1; 30 left closing; 390 over s1 c1 answered", ""},
-		{"a client that is beyond a broken way", "0 sent; 5 push s1 c1; 30 left; 20 over s1 c1 refused; 341 push s2 c2; 350 over s2 c2 answered", ""},
-		{"stands still with the op in hand", "0 sent; 5 push s1 c1; 10 stalled p1 meant; 20 over s1 c1 answered; 600 stalled p1", ""},
-		{"answers late, having stood still", "0 sent; 5 push s1 c1; 10 stalled p1 meant; 20 over s1 c1 answered; 600 stalled p1; 601 acked", ""},
-		{"another stands still", "0 sent; 5 push s1 c1; 10 stalled p2 meant; 20 over s1 c1 answered; 600 stalled p2", RuleAnswerLost},
-		{"stands still, and sends a copy after", "0 sent cat1; 5 push s1 c1; 10 stalled p1 meant; 20 over s1 c1 failed; 100 stalled p1; 101 push s2 c2; 120 over s2 c2 answered; 121 acked", RuleDuplicateEffect},
-		{"told to drain as it stands still", "0 stalled p1 meant; 10 told p1 s1 leaving; 300 stalled p1; 301 sent; 305 push s1 c1; 320 over s1 c1 answered; 321 acked", ""},
-		{"and pushes there long after", "0 stalled p1 meant; 10 told p1 s1 leaving; 300 stalled p1; 501 sent; 505 push s1 c1; 520 over s1 c1 answered; 521 acked", RuleDrainedServer},
-		{"held with nothing out", "0 sent; 300 nacked", RuleDelayedRefusal},
-		{"held behind a push that was refused", "0 sent; 5 push s1 c1; 6 over s1 c1 refused; 300 nacked", RuleDelayedRefusal},
-		{"out at a server that never answers", "0 sent; 5 push s1 c1; 6 over s1 c1 silent; 300 nacked", ""},
-		{"out on a broken way", "0 blind meant; 1 sent; 300 nacked; 301 blind", ""},
-		{"long after the way is whole", "0 blind meant; 1 blind; 700 sent; 1000 nacked", RuleDelayedRefusal},
-		{"loses", "0 sent; 5 push s1 c1; 20 over s1 c1 answered", RuleAnswerLost},
-		{"hangs up", "0 sent; 5 push s1 c1; 20 closed", RuleAnswerLost},
-		{"late", "0 sent; 5 push s1 c1; 450 over s1 c1 answered; 451 acked", RuleAnswerLost},
-		{"late, and its client has left", "0 sent; 5 push s1 c1; 400 left; 450 over s1 c1 answered; 451 acked", ""},
-		{"another op's value", "0 sent; 5 push s1 c1; 20 over s1 c1 answered; 21 foreign", RuleAnswerLost},
-		{"killed by the lab with the op in hand", "0 sent; 5 push s1 c1; 20 gone p1 meant; 20 closed; 20 over s1 c1 dropped", ""},
-		{"killed in the midst of its answer", "0 sent; 5 push s1 c1; 18 over s1 c1 answered; 20 half; 20 gone p1 meant", ""},
-		{"killed, and no word of the connection's end", "0 sent; 5 push s1 c1; 20 gone p1 meant", ""},
-		{"ends by itself with the op in hand", "0 sent; 5 push s1 c1; 20 gone p1; 20 closed", RuleAnswerLost},
-		{"ends with the op in hand, warned ahead", "0 sent; 5 push s1 c1; 20 gone p1 warned; 20 closed; 20 over s1 c1 dropped", RuleAnswerLost},
-		{"ends with the op unread, warned ahead", "0 sent; 20 gone p1 warned; 20 closed", RuleAnswerLost},
-		{"ends with no word, warned ahead", "0 sent; 20 gone p1 warned", RuleAnswerLost},
-		{"ends between two ops, warned ahead", "0 sent; 20 gone p1 warned; 20 crossed", ""},
-		{"another proxy is killed", "0 sent; 5 push s1 c1; 20 gone p2 meant; 25 closed", RuleAnswerLost},
-		{"closed between two ops, unread", "0 sent; 1 crossed", ""},
-		{"closed after it was read", "0 sent; 5 push s1 c1; 9 crossed; 10 over s1 c1 dropped", RuleAnswerLost},
-		{"answers twice", "0 sent; 5 push s1 c1; 20 over s1 c1 answered; 21 acked; 25 nacked", RuleAnsweredTwice},
-		{"sends after its answer", "0 sent; 21 nacked; 60 push s1 c1; 70 over s1 c1 answered", RulePushAfterAnswer},
-		{"a push that is under way as the answer is", "0 sent; 5 push s1 c1; 20 nacked; 25 push s2 c2; 25 over s1 c1 dropped; 26 over s2 c2 dropped", ""},
-		{"two at once", "0 sent; 5 push s1 c1; 30 push s2 c2; 60 over s1 c1 answered; 61 acked; 62 over s2 c2 dropped", RuleDuplicateEffect},
-		{"one after the other", "0 sent; 5 push s1 c1; 30 over s1 c1 dropped; 31 push s2 c2; 61 over s2 c2 answered; 62 acked", ""},
-		{"word of a connection's end comes late", "0 sent; 5 push s1 c1; 31 push s2 c2; 33 over s1 c1 dropped; 61 over s2 c2 answered; 62 acked", ""},
-		{"at-most-once, again after it may have run", "0 sent cat1; 5 push s1 c1; 30 over s1 c1 failed; 31 push s2 c2; 61 over s2 c2 answered; 62 acked", RuleDuplicateEffect},
-		{"at-most-once, again after a refusal", "0 sent cat1; 5 push s1 c1; 30 over s1 c1 refused; 31 push s2 c2; 61 over s2 c2 answered; 62 acked", ""},
-		{"at-most-once, nacked though it may have run", "0 sent cat1; 5 push s1 c1; 30 over s1 c1 dropped; 31 nacked", RuleUnsafeNack},
-		{"at-most-once, dead-lettered", "0 sent cat1; 5 push s1 c1; 30 over s1 c1 dropped; 31 dead", ""},
-		{"deduplicated, again in its zone", "0 sent cat2; 5 push s1 c1; 30 over s1 c1 dropped; 31 push s3 c2; 61 over s3 c2 answered; 62 acked", ""},
-		{"deduplicated, again in another zone", "0 sent cat2; 5 push s1 c1; 30 over s1 c1 dropped; 31 push s2 c2; 61 over s2 c2 answered; 62 acked", RuleDuplicateEffect},
-		{"deduplicated, again past its window", "0 sent cat2; 5 push s1 c1; 30 over s1 c1 dropped; 231 push s3 c2; 261 over s3 c2 answered; 262 acked", RuleDuplicateEffect},
-		{"too many pushes", "0 sent; 1 push s1 c1; 2 over s1 c1 refused; 3 push s2 c2; 4 over s2 c2 refused; 5 push s3 c3; 6 over s3 c3 refused; 7 push s1 c4; 8 over s1 c4 answered; 9 acked", RuleTooManyPushes},
-		{"pushes to a drained cache", "0 told p1 s1 leaving; 200 sent; 205 push s1 c1; 220 over s1 c1 answered; 221 acked", RuleDrainedServer},
-		{"within the grace", "150 told p1 s1 leaving; 200 sent; 205 push s1 c1; 220 over s1 c1 answered; 221 acked", ""},
-		{"another proxy was told", "0 told p2 s1 leaving; 200 sent; 205 push s1 c1; 220 over s1 c1 answered; 221 acked", ""},
-		{"back since", "0 told p1 s1 out; 50 told p1 s1 active; 200 sent; 205 push s1 c1; 220 over s1 c1 answered; 221 acked", ""},
-		{"pushes to what an operator took out", "150 hand p1 s1 meant; 200 sent; 205 push s1 c1; 220 over s1 c1 answered; 221 acked", RuleDrainedServer},
-		{"whatever the list says since", "150 hand p1 s1 meant; 180 told p1 s1 active; 200 sent; 205 push s1 c1; 220 over s1 c1 answered; 221 acked", RuleDrainedServer},
-		{"called back since", "100 hand p1 s1 meant; 150 hand p1 s1; 200 sent; 205 push s1 c1; 220 over s1 c1 answered; 221 acked", ""},
-		{"taken out at another proxy", "150 hand p2 s1 meant; 200 sent; 205 push s1 c1; 220 over s1 c1 answered; 221 acked", ""},
-		{"sits on its refusal", "0 sent; 5 push s1 c1; 30 over s1 c1 failed; 350 nacked", RuleDelayedRefusal},
-		{"sits on it with nothing ever out", "0 sent; 350 nacked", RuleDelayedRefusal},
-		{"refuses after a long push", "0 sent; 5 push s1 c1; 350 over s1 c1 dropped; 351 nacked", ""},
-		{"a cold cache pushed over", "0 started s1 cold; 0 sent; 5 push s1 c1 work1500; 6 over s1 c1 answered; 7 acked", RuleColdOverload},
-		{"a cold cache within its bound", "0 started s1 cold; 0 sent; 5 push s1 c1 work900; 6 over s1 c1 answered; 7 acked", ""},
+	for _, c := range []struct{ name, records, rule string }{
+		{"served", "0 sent; 5 push s1 c1; 20 ended s1 c1 answered; 21 acked", ""},
+		{"miss, then origin", "0 sent; 5 push s1 c1; 8 ended s1 c1 missed; 9 push s0 c2; 40 ended s0 c2 answered; 41 acked", ""},
+		{"forwards the remaining time", "0 sent; 5 push s1 c1; 5 deadline s1 c1 390ms; 105 ended s1 c1 missed; 106 push s0 c2; 106 deadline s0 c2 290ms; 140 ended s0 c2 answered; 141 acked", ""},
+		{"forwards slightly more, within the tolerance", "0 sent; 300 push s1 c1; 300 deadline s1 c1 300ms; 320 ended s1 c1 answered; 321 acked", ""},
+		{"forwards the client's whole deadline with a retry", "0 sent; 5 push s1 c1; 5 deadline s1 c1 390ms; 205 ended s1 c1 missed; 206 push s0 c2; 206 deadline s0 c2 400ms; 240 ended s0 c2 answered; 241 acked", RuleDeadline},
+		{"forwards more than the remaining time with the first push", "0 sent; 300 push s1 c1; 300 deadline s1 c1 301ms; 320 ended s1 c1 answered; 321 acked", RuleDeadline},
+		{"forwards no deadline", "0 sent; 5 push s1 c1; 5 deadline s1 c1; 20 ended s1 c1 answered; 21 acked", RuleDeadline},
+		{"client leaves", "0 sent; 5 push s1 c1; 30 clientleft; 31 ended s1 c1 connlost", ""},
+		{"push after the client left", "0 sent; 5 push s1 c1; 30 clientleft closes; 20 ended s1 c1 refused; 341 push s2 c2; 350 ended s2 c2 answered", RulePushAfterClientLeft},
+		{"push just before the proxy has to notice that the client left", "0 sent; 5 push s1 c1; 30 clientleft closes; 20 ended s1 c1 refused; 339 push s2 c2; 350 ended s2 c2 answered", ""},
+		{"first push after the client left", "0 sent; 30 clientleft closes; 341 push s2 c2; 350 ended s2 c2 answered", RulePushAfterClientLeft},
+		{"push after the client left, by a process that was stopped meanwhile", "0 sent; 30 clientleft closes; 20 stalled p1 on; 340 stalled p1; 341 push s2 c2; 350 ended s2 c2 answered", ""},
+		{"push in progress when the client leaves runs to its end", "0 sent cat1; 5 push s1 c1; 30 clientleft closes; 390 ended s1 c1 answered", ""},
+		{"push after the client left, behind a link fault", "0 sent; 5 push s1 c1; 30 clientleft; 20 ended s1 c1 refused; 341 push s2 c2; 350 ended s2 c2 answered", ""},
+		{"no answer, process was stopped with the op in progress", "0 sent; 5 push s1 c1; 10 stalled p1 on; 20 ended s1 c1 answered; 600 stalled p1", ""},
+		{"late answer, process was stopped", "0 sent; 5 push s1 c1; 10 stalled p1 on; 20 ended s1 c1 answered; 600 stalled p1; 601 acked", ""},
+		{"no answer, another process was stopped", "0 sent; 5 push s1 c1; 10 stalled p2 on; 20 ended s1 c1 answered; 600 stalled p2", RuleAnswerLost},
+		{"duplicate after the process was stopped", "0 sent cat1; 5 push s1 c1; 10 stalled p1 on; 20 ended s1 c1 failed; 100 stalled p1; 101 push s2 c2; 120 ended s2 c2 answered; 121 acked", RuleDuplicateEffect},
+		{"server leaves while the process is stopped, push right after", "0 stalled p1 on; 10 state p1 s1 leaving; 300 stalled p1; 301 sent; 305 push s1 c1; 320 ended s1 c1 answered; 321 acked", ""},
+		{"server leaves while the process is stopped, push long after", "0 stalled p1 on; 10 state p1 s1 leaving; 300 stalled p1; 501 sent; 505 push s1 c1; 520 ended s1 c1 answered; 521 acked", RuleDrainedServer},
+		{"refusal delayed without a push", "0 sent; 300 nacked", RuleDelayedRefusal},
+		{"refusal delayed after a refused push", "0 sent; 5 push s1 c1; 6 ended s1 c1 refused; 300 nacked", RuleDelayedRefusal},
+		{"refusal with a push at a server that never answers", "0 sent; 5 push s1 c1; 6 ended s1 c1 unanswered; 300 nacked", ""},
+		{"refusal during a link fault", "0 linkfault on; 1 sent; 300 nacked; 301 linkfault", ""},
+		{"refusal delayed long after a link fault", "0 linkfault on; 1 linkfault; 700 sent; 1000 nacked", RuleDelayedRefusal},
+		{"no answer", "0 sent; 5 push s1 c1; 20 ended s1 c1 answered", RuleAnswerLost},
+		{"connection closed before the answer", "0 sent; 5 push s1 c1; 20 closed", RuleAnswerLost},
+		{"late answer", "0 sent; 5 push s1 c1; 450 ended s1 c1 answered; 451 acked", RuleAnswerLost},
+		{"late answer, client has left", "0 sent; 5 push s1 c1; 400 clientleft; 450 ended s1 c1 answered; 451 acked", ""},
+		{"value of another op", "0 sent; 5 push s1 c1; 20 ended s1 c1 answered; 21 wrongvalue", RuleAnswerLost},
+		{"process killed with the op in progress", "0 sent; 5 push s1 c1; 20 exited p1 killed; 20 closed; 20 ended s1 c1 connlost", ""},
+		{"process killed while it writes the answer", "0 sent; 5 push s1 c1; 18 ended s1 c1 answered; 20 truncated; 20 exited p1 killed", ""},
+		{"process killed, end of the connection not seen", "0 sent; 5 push s1 c1; 20 exited p1 killed", ""},
+		{"process crashes with the op in progress", "0 sent; 5 push s1 c1; 20 exited p1; 20 closed", RuleAnswerLost},
+		{"process terminated with the op in progress", "0 sent; 5 push s1 c1; 20 exited p1 terminated; 20 closed; 20 ended s1 c1 connlost", RuleAnswerLost},
+		{"process terminated with the op unread", "0 sent; 20 exited p1 terminated; 20 closed", RuleAnswerLost},
+		{"process terminated, end of the connection not seen", "0 sent; 20 exited p1 terminated", RuleAnswerLost},
+		{"process terminated, idle connection closed", "0 sent; 20 exited p1 terminated; 20 idleclosed", ""},
+		{"another process killed", "0 sent; 5 push s1 c1; 20 exited p2 killed; 25 closed", RuleAnswerLost},
+		{"idle connection closed, op unread", "0 sent; 1 idleclosed", ""},
+		{"reused connection closed after a push", "0 sent; 5 push s1 c1; 9 idleclosed; 10 ended s1 c1 connlost", RuleAnswerLost},
+		{"two answers", "0 sent; 5 push s1 c1; 20 ended s1 c1 answered; 21 acked; 25 nacked", RuleAnsweredTwice},
+		{"push after the answer", "0 sent; 21 nacked; 60 push s1 c1; 70 ended s1 c1 answered", RulePushAfterAnswer},
+		{"push that crosses the answer", "0 sent; 5 push s1 c1; 20 nacked; 25 push s2 c2; 25 ended s1 c1 connlost; 26 ended s2 c2 connlost", ""},
+		{"two pushes at once", "0 sent; 5 push s1 c1; 30 push s2 c2; 60 ended s1 c1 answered; 61 acked; 62 ended s2 c2 connlost", RuleDuplicateEffect},
+		{"two pushes in turn", "0 sent; 5 push s1 c1; 30 ended s1 c1 connlost; 31 push s2 c2; 61 ended s2 c2 answered; 62 acked", ""},
+		{"two pushes in turn, end of the first recorded late", "0 sent; 5 push s1 c1; 31 push s2 c2; 33 ended s1 c1 connlost; 61 ended s2 c2 answered; 62 acked", ""},
+		{"at-most-once, pushed again after it may have run", "0 sent cat1; 5 push s1 c1; 30 ended s1 c1 failed; 31 push s2 c2; 61 ended s2 c2 answered; 62 acked", RuleDuplicateEffect},
+		{"at-most-once, pushed again after a refusal", "0 sent cat1; 5 push s1 c1; 30 ended s1 c1 refused; 31 push s2 c2; 61 ended s2 c2 answered; 62 acked", ""},
+		{"at-most-once, nacked though it may have run", "0 sent cat1; 5 push s1 c1; 30 ended s1 c1 connlost; 31 nacked", RuleUnsafeNack},
+		{"at-most-once, dead-lettered", "0 sent cat1; 5 push s1 c1; 30 ended s1 c1 connlost; 31 deadlettered", ""},
+		{"deduplicated, pushed again in its zone", "0 sent cat2; 5 push s1 c1; 30 ended s1 c1 connlost; 31 push s3 c2; 61 ended s3 c2 answered; 62 acked", ""},
+		{"deduplicated, pushed again in another zone", "0 sent cat2; 5 push s1 c1; 30 ended s1 c1 connlost; 31 push s2 c2; 61 ended s2 c2 answered; 62 acked", RuleDuplicateEffect},
+		{"deduplicated, pushed again after its window", "0 sent cat2; 5 push s1 c1; 30 ended s1 c1 connlost; 231 push s3 c2; 261 ended s3 c2 answered; 262 acked", RuleDuplicateEffect},
+		{"too many pushes", "0 sent; 1 push s1 c1; 2 ended s1 c1 refused; 3 push s2 c2; 4 ended s2 c2 refused; 5 push s3 c3; 6 ended s3 c3 refused; 7 push s1 c4; 8 ended s1 c4 answered; 9 acked", RuleTooManyPushes},
+		{"push to a leaving server after the grace period", "0 state p1 s1 leaving; 200 sent; 205 push s1 c1; 220 ended s1 c1 answered; 221 acked", RuleDrainedServer},
+		{"push to a leaving server within the grace period", "150 state p1 s1 leaving; 200 sent; 205 push s1 c1; 220 ended s1 c1 answered; 221 acked", ""},
+		{"another proxy was told that the server leaves", "0 state p2 s1 leaving; 200 sent; 205 push s1 c1; 220 ended s1 c1 answered; 221 acked", ""},
+		{"server active again", "0 state p1 s1 out; 50 state p1 s1 active; 200 sent; 205 push s1 c1; 220 ended s1 c1 answered; 221 acked", ""},
+		{"push to a detached server", "150 override p1 s1 on; 200 sent; 205 push s1 c1; 220 ended s1 c1 answered; 221 acked", RuleDrainedServer},
+		{"push to a detached server that discovery lists as active", "150 override p1 s1 on; 180 state p1 s1 active; 200 sent; 205 push s1 c1; 220 ended s1 c1 answered; 221 acked", RuleDrainedServer},
+		{"server attached again", "100 override p1 s1 on; 150 override p1 s1; 200 sent; 205 push s1 c1; 220 ended s1 c1 answered; 221 acked", ""},
+		{"server detached at another proxy", "150 override p2 s1 on; 200 sent; 205 push s1 c1; 220 ended s1 c1 answered; 221 acked", ""},
+		{"refusal delayed after a failed push", "0 sent; 5 push s1 c1; 30 ended s1 c1 failed; 350 nacked", RuleDelayedRefusal},
+		{"refusal long delayed without a push", "0 sent; 350 nacked", RuleDelayedRefusal},
+		{"refusal after a long push", "0 sent; 5 push s1 c1; 350 ended s1 c1 connlost; 351 nacked", ""},
+		{"cold cache overloaded", "0 started s1 cold; 0 sent; 5 push s1 c1 work1500; 6 ended s1 c1 answered; 7 acked", RuleColdOverload},
+		{"cold cache within its bound", "0 started s1 cold; 0 sent; 5 push s1 c1 work900; 6 ended s1 c1 answered; 7 acked", ""},
 	} {
-		records := history(t, c.text)
-		for try := range 3 { // the verdict hangs on times, not on the order of lines
-			if try > 0 && !strings.Contains(c.text, "started") { // a server is booked before it can be asked
-				rand.New(rand.NewPCG(uint64(try), 1)).Shuffle(len(records), func(i, j int) { records[i], records[j] = records[j], records[i] })
+		records := parseRecords(t, c.records)
+		for order := range 3 {
+			// The start of a server always comes before the pushes to it.
+			if order > 0 && !strings.Contains(c.records, "started") {
+				rand.New(rand.NewPCG(uint64(order), 1)).Shuffle(len(records), func(i, j int) { records[i], records[j] = records[j], records[i] })
 			}
-			j := NewJudge(terms)
+			j := NewJudge(testParams)
 			for _, r := range records {
 				j.Add(r)
 			}
 			j.Add(Record{Kind: RunFinished, At: 60 * time.Second})
 			v := j.Finish()
-			if c.broken == "" && !v.Passed() || c.broken != "" && (len(v.Violations) != 1 || v.Violations[c.broken] != 1) {
-				t.Errorf("%s: %v, want %q: %v", c.name, v.Violations, c.broken, v.Findings)
+			if c.rule == "" && !v.Passed() || c.rule != "" && (len(v.Violations) != 1 || v.Violations[c.rule] != 1) {
+				t.Errorf("%s: violations %v, want %q: %v", c.name, v.Violations, c.rule, v.Findings)
 			}
 		}
 	}
 }
 
-// A run that was cut short can be judged, and only open ops are held.
+// TestLedgerOnDisk checks that a truncated ledger can be judged, that the judge holds only open ops, and that a corrupt ledger
+// is rejected.
 func TestLedgerOnDisk(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "ledger")
-	book, err := Create(path)
+	w, err := Create(path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i := range 5000 {
 		at := time.Duration(i) * 10 * ms
-		book.Append(Record{OpSent, at, uint64(i), 1, 0, 400_000})
-		book.Append(Record{OpAnswered, at + ms, uint64(i), AnswerAcked, 0, 0})
+		w.Append(Record{OpSent, at, uint64(i), 1, 0, 400_000})
+		w.Append(Record{OpAnswered, at + ms, uint64(i), AnswerAcked, 0, 0})
 	}
-	if n, err := book.Close(); n != 10000 || err != nil {
-		t.Fatal(n, err)
+	if n, err := w.Close(); n != 10000 || err != nil {
+		t.Fatalf("%d records written, error %v", n, err)
 	}
-	text, _ := os.ReadFile(path)
-	j := NewJudge(terms)
-	if err := Read(bytes.NewReader(text[:len(text)-5]), j.Add); err != nil {
+	raw, _ := os.ReadFile(path)
+	j := NewJudge(testParams)
+	if err := Read(bytes.NewReader(raw[:len(raw)-5]), j.Add); err != nil {
 		t.Fatal(err)
 	}
 	if v := j.Finish(); v.Ops != 5000 || v.Answers["acked"] != 4999 || v.Violations[RuleAnswerLost] != 1 || v.Complete || v.MaxOpenOps > 500 {
-		t.Errorf("%+v", v)
+		t.Errorf("verdict on a truncated ledger: %+v", v)
 	}
-	text[0] = 99
-	if Read(bytes.NewReader(text), j.Add) == nil {
-		t.Error("a garbled ledger was read")
+	raw[0] = 99
+	if Read(bytes.NewReader(raw), j.Add) == nil {
+		t.Error("a ledger with a record of unknown kind was accepted")
 	}
 }
 
-// Danger: a full disk that nobody notices makes a verdict on half a run.
-func TestAFullDiskIsTold(t *testing.T) {
-	book, err := Create("/dev/full")
+// TestCloseReportsFullDisk guards against a verdict on part of a run, because a write error went unnoticed.
+func TestCloseReportsFullDisk(t *testing.T) {
+	w, err := Create("/dev/full")
 	if err != nil {
-		t.Skip("no /dev/full here")
+		t.Skip("/dev/full does not exist")
 	}
 	for range 100_000 {
-		book.Append(Record{Kind: OpSent})
+		w.Append(Record{Kind: OpSent})
 	}
-	if _, err := book.Close(); err == nil {
-		t.Error("all was written, it says")
+	if _, err := w.Close(); err == nil {
+		t.Error("Close reported no error on a full disk")
 	}
 }
--- a/lab/ledger/rules.go
+++ b/lab/ledger/rules.go
@@ -6,310 +6,324 @@
 	"time"
 )
 
-// push is one push with its end.
+// notYet stands for the time of an event that has not happened.
+const notYet = time.Duration(-1)
+
+// answerKilled replaces an answer if the lab killed the proxy process that owed it. It is no value of a record.
+const answerKilled = 1 << 16
+
+// push is a PushReceived record with the end of the push.
 type push struct {
 	Record
-	over time.Duration // -1: not yet
-	how  uint32
+	endedAt time.Duration // notYet while it is in progress
+	end     uint32        // one of the End constants
 }
 
-// mayHaveRun tells whether nothing proves that it had no effect.
-func (p push) mayHaveRun() bool { return p.over < 0 || p.how != EndRefused && p.how != EndMissed }
+// mayHaveRun reports whether the push may have had an effect: nothing proves that it did not run.
+func (p push) mayHaveRun() bool { return p.endedAt < 0 || p.end != EndRefused && p.end != EndMissed }
 
-// killed books an op that a proxy which was ended had, or may have had.
-func (j *Judge) killed(pushes []push) {
-	if j.v.KilledOps++; len(pushes) > 0 {
-		j.v.KilledAfterPush++
+// countKilled counts an op that was held, or may have been held, by a proxy process that the lab killed.
+func (j *Judge) countKilled(pushes []push) {
+	if j.verdict.KilledOps++; len(pushes) > 0 {
+		j.verdict.KilledAfterPush++
 	}
 }
 
-// trace is what the ledger tells of one op, in order.
-type trace struct {
-	sent    Record
-	answers []Record
-	pushes  []push
-	left    time.Duration // its client went away; -1: it did not
-	closed  time.Duration // and closed its connection then; -1: it did not, or a broken way hides it
+// opHistory is what the records tell about one op, in order of time.
+type opHistory struct {
+	sent         Record
+	answers      []Record
+	pushes       []push
+	clientLeftAt time.Duration // notYet if the client did not leave
+	connClosedAt time.Duration // notYet if the client did not close its connection, or a link fault hides that
 }
 
-// gather puts an op's records together; those of its pushes with their ends.
-func (e *entry) gather() trace {
-	h := trace{left: -1, closed: -1}
-	for _, r := range e.events {
+// history groups the records of an op, and combines pushes with their ends.
+func (e *opRecords) history() opHistory {
+	h := opHistory{clientLeftAt: notYet, connClosedAt: notYet}
+	for _, r := range e.records {
 		switch r.Kind {
 		case OpSent:
 			h.sent = r
 		case ClientLeft:
-			if h.left = r.At; r.A == 1 {
-				h.closed = r.At
+			if h.clientLeftAt = r.At; r.A == 1 {
+				h.connClosedAt = r.At
 			}
 		case OpAnswered:
 			h.answers = append(h.answers, r)
 		case PushReceived:
-			h.pushes = append(h.pushes, push{r, -1, 0})
+			h.pushes = append(h.pushes, push{r, notYet, 0})
 		case PushEnded:
-			h.ended(r)
+			h.endPush(r)
 		}
 	}
 	return h
 }
 
-// ended gives the first push that is open on a connection its end.
-func (h *trace) ended(r Record) {
+// endPush sets the end of the first push that is in progress on the connection of r.
+func (h *opHistory) endPush(r Record) {
 	for i := range h.pushes {
-		if p := &h.pushes[i]; p.A == r.A && p.B == r.B && p.over < 0 {
-			p.over, p.how = r.At, r.C
+		if p := &h.pushes[i]; p.A == r.A && p.B == r.B && p.endedAt < 0 {
+			p.endedAt, p.end = r.At, r.C
 			return
 		}
 	}
 }
 
-// close judges one op.
-func (j *Judge) close(e *entry) {
+// checkOp checks all rules for one op.
+func (j *Judge) checkOp(e *opRecords) {
 	delete(j.open, e.op)
-	sort.SliceStable(e.events, func(a, b int) bool { return e.events[a].At < e.events[b].At })
+	sort.SliceStable(e.records, func(a, b int) bool { return e.records[a].At < e.records[b].At })
 	if !e.sent {
-		j.v.Unmatched++ // from a client that the run's end cut off, or a push without an op
+		j.verdict.Unmatched++ // the run's end cut off its client, or a push belongs to no op
 		return
 	}
-	j.v.Ops++
-	h := e.gather()
-	c := j.terms.Categories[min(int(h.sent.B), len(j.terms.Categories)-1)]
+	j.verdict.Ops++
+	h := e.history()
+	c := j.params.Categories[min(int(h.sent.B), len(j.params.Categories)-1)]
 	wait := time.Duration(h.sent.C) * time.Microsecond
-	first := j.answered(e, h, wait)
-	j.copies(e, c, h.pushes, h.answers)
-	j.drains(e, h.sent.A, h.pushes)
-	j.deadlines(e, h.sent.At+wait)
-	j.sentOn(e, h)
+	answer := j.checkAnswers(e, h, wait)
+	j.checkDuplicates(e, c, h.pushes, h.answers)
+	j.checkDrainedServers(e, h.sent.A, h.pushes)
+	j.checkDeadlines(e, h.sent.At+wait)
+	j.checkPushesAfterClientLeft(e, h)
 	if len(h.answers) > 0 {
-		j.after(e, h, first)
-		j.heldBack(e, h, first, c)
+		j.checkPushesAfterAnswer(e, h, answer)
+		j.checkRefusalDelay(e, h, answer, c)
 	}
 }
 
-// answered looks for an op's one final answer in time, books it, and gives it.
-func (j *Judge) answered(e *entry, h trace, wait time.Duration) (first Record) {
+// checkAnswers checks that an op has exactly one final answer, in time. It counts the first answer and returns it.
+func (j *Judge) checkAnswers(e *opRecords, h opHistory, wait time.Duration) (first Record) {
 	proxy := h.sent.A
-	end := h.sent.At + wait + j.terms.Slack
-	gone, dead := j.gone[proxy]
-	ended := dead && gone.C == ExitKilled && gone.At < end
+	end := h.sent.At + wait + j.params.Slack
+	exit, exited := j.exits[proxy]
+	killed := exited && exit.C == ExitKilled && exit.At < end
 	switch {
-	case len(h.answers) == 0 && h.left >= 0:
-		j.v.ClientsLeft++
+	case len(h.answers) == 0 && h.clientLeftAt >= 0:
+		j.verdict.ClientsLeft++
 		return first
-	case len(h.answers) == 0 && ended:
-		j.killed(h.pushes)
+	case len(h.answers) == 0 && killed:
+		j.countKilled(h.pushes)
 		return first
-	case j.stood(proxy, h.sent.At, end) && (len(h.answers) == 0 || h.answers[0].At > end):
-		j.v.StalledOps++
-		if len(h.answers) == 0 { // its client went away when it was to
+	case j.stalledBetween(proxy, h.sent.At, end) && (len(h.answers) == 0 || h.answers[0].At > end):
+		j.verdict.StalledOps++
+		if len(h.answers) == 0 { // the client left when its time was over
 			return first
 		}
 		first = h.answers[0]
-		j.v.Answers[name(answerNames, first.A)]++
+		j.verdict.Answers[name(answerNames, first.A)]++
 		return first
 	case len(h.answers) == 0:
-		j.find(RuleAnswerLost, e, "no final answer within %v, %s", wait, h.stood(h.sent.At+wait))
+		j.report(RuleAnswerLost, e, "no final answer within %v, %s", wait, h.progressAt(h.sent.At+wait))
 		return first
 	}
 	first = h.answers[0]
+	connLost := first.A == AnswerClosed || first.A == AnswerTruncated || first.A == AnswerIdleClosed
 	switch {
-	case (first.A == AnswerClosed || first.A == AnswerTruncated || first.A == AnswerIdleClosed) && ended && first.At >= gone.At-j.terms.Slack:
-		j.killed(h.pushes) // also with an answer half written: its client can tell
-		first.A = killed
-	case first.A == AnswerIdleClosed && len(h.pushes) == 0: // its client asks once more
+	case connLost && killed && first.At >= exit.At-j.params.Slack:
+		j.countKilled(h.pushes) // also for a truncated answer: its client can detect that
+		first.A = answerKilled
+	case first.A == AnswerIdleClosed && len(h.pushes) == 0: // the client may retry
 	case first.A == AnswerClosed || first.A == AnswerIdleClosed || first.A == AnswerTruncated && len(h.pushes) == 0:
-		j.find(RuleAnswerLost, e, "the connection ended with the answer owed, %s", h.stood(first.At))
+		j.report(RuleAnswerLost, e, "the connection ended with the answer owed, %s", h.progressAt(first.At))
 	case first.A == AnswerWrongValue:
-		j.find(RuleAnswerLost, e, "served a value that no server made for it")
-	case first.At > end && (h.left < 0 || h.left > end):
-		j.find(RuleAnswerLost, e, "answered %v after it was sent, %v later than its client waits", first.At-h.sent.At, first.At-end)
+		j.report(RuleAnswerLost, e, "served a value that no server made for it")
+	case first.At > end && (h.clientLeftAt < 0 || h.clientLeftAt > end):
+		j.report(RuleAnswerLost, e, "answered %v after it was sent, %v later than its client waits", first.At-h.sent.At, first.At-end)
 	}
-	if first.A != killed {
-		j.v.Answers[name(answerNames, first.A)]++
+	if first.A != answerKilled {
+		j.verdict.Answers[name(answerNames, first.A)]++
 	}
 	if len(h.answers) > 1 {
-		j.find(RuleAnsweredTwice, e, "%d final answers", len(h.answers))
+		j.report(RuleAnsweredTwice, e, "%d final answers", len(h.answers))
 	}
 	return first
 }
 
-// stood is how far a request had come at a moment, as its servers saw it.
-func (h *trace) stood(at time.Duration) string {
-	stood := "with no attempt made: it was not read, or waited in the proxy"
+// progressAt describes how far an op had come at a moment, as its servers saw it.
+func (h *opHistory) progressAt(at time.Duration) string {
+	progress := "with no attempt made: it was not read, or waited in the proxy"
 	for _, p := range h.pushes {
 		switch {
 		case p.At > at:
-		case p.over >= 0 && p.over <= at && p.how == EndAnswered:
+		case p.endedAt >= 0 && p.endedAt <= at && p.end == EndAnswered:
 			return "with its server's answer not written"
-		case p.over < 0 || p.over > at:
-			stood = "with an attempt out"
+		case p.endedAt < 0 || p.endedAt > at:
+			progress = "with an attempt out"
 		default:
-			stood = "behind an attempt that had ended"
+			progress = "behind an attempt that had ended"
 		}
 	}
-	return stood
+	return progress
 }
 
-// sentOn looks for pushes for a client that had left.
-func (j *Judge) sentOn(e *entry, h trace) {
-	if h.closed < 0 {
+// checkPushesAfterClientLeft checks that nothing is pushed for a client that has closed its connection.
+func (j *Judge) checkPushesAfterClientLeft(e *opRecords, h opHistory) {
+	if h.connClosedAt < 0 {
 		return
 	}
 	for _, p := range h.pushes {
-		excused := j.stood(h.sent.A, h.closed, p.At) || overlap(j.blind, h.closed, p.At)
-		if p.At > h.closed+leftWithin+j.terms.Slack && !excused {
-			j.find(RulePushAfterClientLeft, e, "pushed %v after its client had left", p.At-h.closed)
+		excused := j.stalledBetween(h.sent.A, h.connClosedAt, p.At) || activeBetween(j.linkFaults, h.connClosedAt, p.At)
+		if p.At > h.connClosedAt+clientLeftDelay+j.params.Slack && !excused {
+			j.report(RulePushAfterClientLeft, e, "pushed %v after its client had left", p.At-h.connClosedAt)
 		}
 	}
 }
 
-// after looks for pushes behind the final answer.
-func (j *Judge) after(e *entry, h trace, first Record) {
+// checkPushesAfterAnswer checks that nothing is pushed after the final answer.
+func (j *Judge) checkPushesAfterAnswer(e *opRecords, h opHistory, answer Record) {
 	for _, p := range h.pushes {
-		if p.At > first.At+j.terms.Slack {
-			j.find(RulePushAfterAnswer, e, "pushed %v after its final answer", p.At-first.At)
+		if p.At > answer.At+j.params.Slack {
+			j.report(RulePushAfterAnswer, e, "pushed %v after its final answer", p.At-answer.At)
 		}
 	}
 }
 
-// heldBack looks for a refusal that was kept back with nothing out.
-func (j *Judge) heldBack(e *entry, h trace, first Record, c Category) {
-	last := h.sent.At // when the proxy last had something out, or took the op
+// checkRefusalDelay checks that a refusal is not delayed while no push is in progress.
+func (j *Judge) checkRefusalDelay(e *opRecords, h opHistory, answer Record, c Category) {
+	lastActive := h.sent.At // when the proxy last had a push in progress, or else received the op
 	for _, p := range h.pushes {
 		switch {
-		case p.At >= first.At:
-		case p.over >= 0 && p.over < first.At && p.how != EndUnanswered: // one that nobody answers is out on an open connection
-			last = max(last, p.over)
+		case p.At >= answer.At:
+		case p.endedAt >= 0 && p.endedAt < answer.At && p.end != EndUnanswered: // an unanswered push stays in progress
+			lastActive = max(lastActive, p.endedAt)
 		default:
-			last = first.At
+			lastActive = answer.At
 		}
 	}
-	refused := first.A == AnswerNacked || first.A == AnswerDeadLettered
-	excused := j.stood(h.sent.A, last, first.At) || overlap(j.blind, last, first.At) // what is out on a broken way is seen by no server
-	if !refused || h.left >= 0 || excused {
+	refused := answer.A == AnswerNacked || answer.A == AnswerDeadLettered
+	// No server sees a push in progress on a faulty link.
+	excused := j.stalledBetween(h.sent.A, lastActive, answer.At) || activeBetween(j.linkFaults, lastActive, answer.At)
+	if !refused || h.clientLeftAt >= 0 || excused {
 		return
 	}
-	held := first.At - last
-	j.v.MaxRefusalDelay = max(j.v.MaxRefusalDelay, held)
-	if c.MaxRefusalDelay > 0 && held > c.MaxRefusalDelay+j.terms.Slack {
-		j.find(RuleDelayedRefusal, e, "given up, and kept back for %v with nothing out", held)
+	delay := answer.At - lastActive
+	j.verdict.MaxRefusalDelay = max(j.verdict.MaxRefusalDelay, delay)
+	if c.MaxRefusalDelay > 0 && delay > c.MaxRefusalDelay+j.params.Slack {
+		j.report(RuleDelayedRefusal, e, "given up, and kept back for %v with nothing out", delay)
 	}
 }
 
-// copies looks for effects that may have happened twice, and for refusals that promised too much.
-func (j *Judge) copies(e *entry, c Category, pushes []push, answers []Record) {
-	if len(pushes) > j.terms.MaxPushes {
-		j.find(RuleTooManyPushes, e, "%d pushes, %d are allowed", len(pushes), j.terms.MaxPushes)
+// checkDuplicates checks the number of pushes, that no effect may have happened twice, and that a nack is only given if no
+// push may have run.
+func (j *Judge) checkDuplicates(e *opRecords, c Category, pushes []push, answers []Record) {
+	if len(pushes) > j.params.MaxPushes {
+		j.report(RuleTooManyPushes, e, "%d pushes, %d are allowed", len(pushes), j.params.MaxPushes)
 	}
 	for i, p := range pushes {
-		for _, q := range pushes[:i] {
-			if !j.terms.AllowConcurrentPushes && (q.over < 0 || q.over > p.At+j.terms.Slack) && q.how != EndConnLost {
-				j.find(RuleDuplicateEffect, e, "a push while another was out on an open connection")
+		for _, earlier := range pushes[:i] {
+			inProgress := earlier.endedAt < 0 || earlier.endedAt > p.At+j.params.Slack
+			if !j.params.AllowConcurrentPushes && inProgress && earlier.end != EndConnLost {
+				j.report(RuleDuplicateEffect, e, "a push while another was out on an open connection")
 			}
-			ran := q.mayHaveRun() && !(q.over >= 0 && q.over > p.At+j.terms.Slack && (q.how == EndRefused || q.how == EndMissed))
+			refusedLater := earlier.endedAt >= 0 && earlier.endedAt > p.At+j.params.Slack && (earlier.end == EndRefused || earlier.end == EndMissed)
+			mayHaveRun := earlier.mayHaveRun() && !refusedLater
 			switch {
-			case !ran || c.Effect == "redeliverable":
+			case !mayHaveRun || c.Effect == "redeliverable":
 			case c.Effect == "at-most-once":
-				j.find(RuleDuplicateEffect, e, "an at-most-once op pushed again though it may have run")
-			case p.At > q.At+c.DedupWindow:
-				j.find(RuleDuplicateEffect, e, "a repeat %v after the first, its window is %v", p.At-q.At, c.DedupWindow)
-			case c.ZoneScopedDedup && j.terms.ServerZone[p.A] != j.terms.ServerZone[q.A]:
-				j.find(RuleDuplicateEffect, e, "a repeat outside the zone that drops it")
+				j.report(RuleDuplicateEffect, e, "an at-most-once op pushed again though it may have run")
+			case p.At > earlier.At+c.DedupWindow:
+				j.report(RuleDuplicateEffect, e, "a repeat %v after the first, its window is %v", p.At-earlier.At, c.DedupWindow)
+			case c.ZoneScopedDedup && j.params.ServerZone[p.A] != j.params.ServerZone[earlier.A]:
+				j.report(RuleDuplicateEffect, e, "a repeat outside the zone that drops it")
 			}
 		}
 	}
 	if len(answers) > 0 && answers[0].A == AnswerNacked && c.Effect != "redeliverable" {
 		for _, p := range pushes {
 			if p.mayHaveRun() && p.At < answers[0].At && (c.Effect == "at-most-once" || c.ZoneScopedDedup) {
-				j.find(RuleUnsafeNack, e, "nacked though a push may have run")
+				j.report(RuleUnsafeNack, e, "nacked though a push may have run")
 			}
 		}
 	}
 }
 
-// deadlines looks for pushes that passed their server more than was left of the time up to end, when their client stops waiting.
-func (j *Judge) deadlines(e *entry, end time.Duration) {
-	for _, r := range e.events {
+// checkDeadlines checks that no push carries a deadline beyond clientDeadline, the time at which the client stops waiting.
+func (j *Judge) checkDeadlines(e *opRecords, clientDeadline time.Duration) {
+	for _, r := range e.records {
 		if r.Kind != DeadlineForwarded {
 			continue
 		}
-		j.v.DeadlinesChecked++
-		passed, left := time.Duration(r.C)*time.Microsecond, end-r.At
-		if passed <= 0 {
-			j.find(RuleDeadline, e, "pushed to server %d with no deadline", r.A)
-		} else if passed > left+deadlineTolerance {
-			j.find(RuleDeadline, e, "passed server %d a deadline of %v, %v were left", r.A, passed, left)
+		j.verdict.DeadlinesChecked++
+		forwarded, remaining := time.Duration(r.C)*time.Microsecond, clientDeadline-r.At
+		if forwarded <= 0 {
+			j.report(RuleDeadline, e, "pushed to server %d with no deadline", r.A)
+		} else if forwarded > remaining+deadlineTolerance {
+			j.report(RuleDeadline, e, "passed server %d a deadline of %v, %v were left", r.A, forwarded, remaining)
 		}
 	}
 }
 
-// drains looks for pushes to what the proxy knew to drain, or to be gone.
-func (j *Judge) drains(e *entry, proxy uint32, pushes []push) {
+// checkDrainedServers checks that nothing is pushed to a server that the proxy knows to be leaving or removed.
+func (j *Judge) checkDrainedServers(e *opRecords, proxy uint32, pushes []push) {
 	for _, p := range pushes {
-		since := time.Duration(-1)
-		// What is told to a process that stands still is heard once it goes on.
-		heard := func(at time.Duration) time.Duration {
-			for _, s := range spans(j.stalls[proxy]) {
-				if at >= s[0] && at < s[1] {
-					return s[1]
+		// A state that is announced to a stopped process counts from the time at which the process resumes.
+		noticedAt := func(at time.Duration) time.Duration {
+			for _, stall := range intervals(j.stalls[proxy]) {
+				if at >= stall.start && at < stall.end {
+					return stall.end
 				}
 			}
 			return at
 		}
-		for _, t := range j.told[[2]uint32{proxy, p.A}] {
+		key := proxyServer{proxy: proxy, server: p.A}
+		drainedAt := notYet
+		for _, change := range j.announced[key] {
 			switch {
-			case t.at > p.At:
-			case t.state == StateActive:
-				since = -1
-			case since < 0:
-				since = heard(t.at)
+			case change.at > p.At:
+			case change.state == StateActive:
+				drainedAt = notYet
+			case drainedAt < 0:
+				drainedAt = noticedAt(change.at)
 			}
 		}
-		by := time.Duration(-1)
-		for _, t := range j.hands[[2]uint32{proxy, p.A}] {
+		detachedAt := notYet
+		for _, change := range j.overrides[key] {
 			switch {
-			case t.at > p.At:
-			case t.state == 0:
-				by = -1
-			case by < 0:
-				by = t.at
+			case change.at > p.At:
+			case change.state == 0:
+				detachedAt = notYet
+			case detachedAt < 0:
+				detachedAt = change.at
 			}
 		}
-		if by >= 0 && p.At > by+j.terms.Slack { // from the yes on: no grace
-			j.find(RuleDrainedServer, e, "pushed to server %d %v after an operator was told that it is out", p.A, p.At-by)
-		} else if since >= 0 && p.At > since+j.terms.DrainGrace+j.terms.Slack {
-			j.find(RuleDrainedServer, e, "pushed to server %d %v after the proxy was told that it drains or is gone", p.A, p.At-since)
+		if detachedAt >= 0 && p.At > detachedAt+j.params.Slack { // an operator's command has no grace period
+			j.report(RuleDrainedServer, e, "pushed to server %d %v after an operator was told that it is out", p.A, p.At-detachedAt)
+		} else if drainedAt >= 0 && p.At > drainedAt+j.params.DrainGrace+j.params.Slack {
+			j.report(RuleDrainedServer, e, "pushed to server %d %v after the proxy was told that it drains or is gone", p.A, p.At-drainedAt)
 		}
 	}
 }
 
-// warm judges the cold time of a server: the work that it was sent in any window, against what it can do then.
-func (j *Judge) warm(id uint32) {
+// overloadBurst is work beyond the overload bound that a cold server tolerates, in seconds of its capacity.
+const overloadBurst = 0.25
+
+// checkColdStart checks the work that a server received during warm-up: in no window may it exceed what the server can do
+// at that time.
+func (j *Judge) checkColdStart(id uint32) {
 	s := j.servers[id]
-	if s == nil || !s.cold || j.terms.OverloadFactor == 0 {
+	if s == nil || !s.cold || j.params.OverloadFactor == 0 {
 		return
 	}
-	slices.SortFunc(s.work, func(a, b Record) int { return int(a.At - b.At) })
-	sum, from := 0.0, 0
-	for i, r := range s.work {
+	slices.SortFunc(s.coldWork, func(a, b Record) int { return int(a.At - b.At) })
+	sum, from := 0.0, 0 // core seconds of work in the window, and the index of its first push
+	for i, r := range s.coldWork {
 		sum += float64(r.C) / 1e6
-		for s.work[from].At < r.At-j.terms.OverloadWindow {
-			sum -= float64(s.work[from].C) / 1e6
+		for s.coldWork[from].At < r.At-j.params.OverloadWindow {
+			sum -= float64(s.coldWork[from].C) / 1e6
 			from++
 		}
-		begin := max(r.At-j.terms.OverloadWindow, s.start)
-		middle := float64(begin+r.At)/2 - float64(s.start)
-		share := j.terms.ColdCapacityShare + (1-j.terms.ColdCapacityShare)*min(middle/float64(j.terms.WarmUp), 1)
-		bound := j.terms.OverloadFactor*share*s.capacity*j.terms.OverloadWindow.Seconds() + 0.25*s.capacity
-		j.v.MaxColdLoad = max(j.v.MaxColdLoad, sum/bound)
+		windowStart := max(r.At-j.params.OverloadWindow, s.startedAt)
+		middle := float64(windowStart+r.At)/2 - float64(s.startedAt)
+		share := j.params.ColdCapacityShare + (1-j.params.ColdCapacityShare)*min(middle/float64(j.params.WarmUp), 1)
+		bound := j.params.OverloadFactor*share*s.capacity*j.params.OverloadWindow.Seconds() + overloadBurst*s.capacity
+		j.verdict.MaxColdLoad = max(j.verdict.MaxColdLoad, sum/bound)
 		if sum > bound {
-			j.find(RuleColdOverload, nil, "server %d, %v after its start: %.2f core seconds of work in %v, %.2f are its bound (%d pushes)",
-				id, r.At-s.start, sum, j.terms.OverloadWindow, bound, i-from+1)
+			j.report(RuleColdOverload, nil, "server %d, %v after its start: %.2f core seconds of work in %v, %.2f are its bound (%d pushes)",
+				id, r.At-s.startedAt, sum, j.params.OverloadWindow, bound, i-from+1)
 			break
 		}
 	}
-	s.work = nil
+	s.coldWork = nil
 }
-
-const killed = 1 << 16 // in an answer's place: the lab ended its proxy
--- a/lab/load/arrivals.go
+++ b/lab/load/arrivals.go
@@ -1,5 +1,5 @@
-// Package load draws what clients ask ahead of time, and asks it, open-loop: an op is sent when it is due, whatever
-// became of those before it.
+// Package load draws the ops of clients ahead of time and sends them open-loop: an op is sent when it is due, whatever
+// became of the ops before it.
 package load
 
 import (
@@ -10,82 +10,97 @@
 	"minttray/lab/experiment"
 )
 
-// Arrival is one op as it is drawn: all that hangs on chance is in it, so that the same seed gives the same load
-// whatever the proxies do.
+const (
+	// arrivalStream selects the stream of random numbers for arrivals among those of the experiment's seed.
+	arrivalStream = 0x6d696e74
+	// zipfOffset is the offset v of the Zipf distribution of keys: P(rank) is proportional to (zipfOffset+rank)^-s.
+	zipfOffset = 8
+	// mantissaRange is the number of values of the 53 random bits that make a share from 0 to 1.
+	mantissaRange = 1 << 53
+	// minShareSum keeps divisions by a sum of shares from dividing by zero.
+	minShareSum = 1e-9
+)
+
+// Arrival is one op with all of its random choices, so that the same seed gives the same load whatever the proxies do.
 type Arrival struct {
-	Due      time.Duration
-	N        uint64
-	Key      uint64
-	Category int
-	Tenant   int
-	Zone     int
-	Patience float64 // share of the TTL that a try is waited for
-	Leaves   float64 // above 0: its client goes away after this share of its wait
-	Heeds    bool    // it comes back when it is told to
-	Pick     uint64  // chance for what the front does
+	Due       time.Duration // from the start of the load
+	Seq       uint64        // number of the op, from 1
+	Key       uint64
+	Category  int     // index into the experiment's categories
+	Tenant    int     // index into the experiment's tenants
+	Zone      int     // index into the experiment's zones
+	WaitShare float64 // share of the TTL that the client waits for a try
+	// LeaveShare is the share of its wait after which the client leaves; 0 if it does not leave.
+	LeaveShare float64
+	// HonorsRetryAfter is set if the client retries no earlier than a refusal's retry-after time.
+	HonorsRetryAfter bool
+	// ProxyChoice is the random number that selects the proxy.
+	ProxyChoice uint64
 }
 
 // Arrivals draws one op after another.
 type Arrivals struct {
-	exp   *experiment.File
-	rnd   *rand.Rand
-	zipf  *rand.Zipf
-	now   time.Duration
-	n     uint64
-	cats  []float64
-	whose []float64
+	exp            *experiment.File
+	random         *rand.Rand
+	zipf           *rand.Zipf
+	now            time.Duration // when the last drawn op is due
+	drawn          uint64        // ops so far
+	categoryShares []float64
+	tenantShares   []float64
 }
 
-// New starts with an experiment's seed.
-func New(exp *experiment.File) *Arrivals {
-	a := &Arrivals{exp: exp, rnd: rand.New(rand.NewPCG(exp.Seed, 0x6d696e74))}
-	a.zipf = rand.NewZipf(a.rnd, exp.Keys.Zipf, 8, uint64(exp.Keys.Count-1))
+// NewArrivals returns the arrivals of an experiment, drawn with its seed.
+func NewArrivals(exp *experiment.File) *Arrivals {
+	a := &Arrivals{exp: exp, random: rand.New(rand.NewPCG(exp.Seed, arrivalStream))}
+	a.zipf = rand.NewZipf(a.random, exp.Keys.Zipf, zipfOffset, uint64(exp.Keys.Count-1))
 	for _, c := range exp.Category {
-		a.cats = append(a.cats, c.Share)
+		a.categoryShares = append(a.categoryShares, c.Share)
 	}
 	for _, t := range exp.Tenant {
-		a.whose = append(a.whose, t.Share)
+		a.tenantShares = append(a.tenantShares, t.Share)
 	}
 	return a
 }
 
-// Mix spreads numbers over 64 bits, each to another.
-func Mix(h uint64) uint64 {
+// Mix64 is a bijective hash of 64 bits (SplitMix64).
+func Mix64(h uint64) uint64 {
 	h += 0x9e3779b97f4a7c15
 	h = (h ^ h>>30) * 0xbf58476d1ce4e5b9
 	h = (h ^ h>>27) * 0x94d049bb133111eb
 	return h ^ h>>31
 }
 
-// KeyOf is the key of a rank of popularity at a moment: some ranks go to other keys as time passes.
+// KeyOf returns the key that has a popularity rank at a moment. With a drift of keys, ranks move to other keys over time.
 func KeyOf(exp *experiment.File, rank uint64, at time.Duration) uint64 {
 	if exp.Keys.Drift > 0 {
-		phase := float64(Mix(rank)>>11) / (1 << 53)
+		phase := float64(Mix64(rank)>>11) / mantissaRange
 		rank += uint64(float64(exp.Keys.Count)) * uint64(at.Seconds()*exp.Keys.Drift+phase)
 	}
-	return max(Mix(rank^exp.Seed<<32), 1)
+	return max(Mix64(rank^exp.Seed<<32), 1)
 }
 
-func during(f experiment.Fault, at time.Duration) bool {
+// activeAt reports whether a fault is active at a moment. A fault without a duration does not end.
+func activeAt(f experiment.Fault, at time.Duration) bool {
 	return at >= f.At.D() && (f.For == 0 || at < f.At.D()+f.For.D())
 }
 
-// rate is ops a second at a moment.
+// rate returns the ops per second at a moment.
 func (a *Arrivals) rate(at time.Duration) float64 {
-	r := a.exp.Load.Rate
+	rate := a.exp.Load.Rate
 	for _, s := range a.exp.Load.Surge {
 		if at >= s.At.D() && at < s.At.D()+s.For.D() {
-			r *= s.Times
+			rate *= s.Times
 		}
 	}
 	for _, f := range a.exp.Fault {
-		if f.Kind == "runaway" && during(f, at) {
-			r += a.exp.Load.Rate * a.shareOf(f.Name) * (f.Size - 1)
+		if f.Kind == "runaway" && activeAt(f, at) {
+			rate += a.exp.Load.Rate * a.shareOf(f.Name) * (f.Size - 1)
 		}
 	}
-	return r
+	return rate
 }
 
+// shareOf returns a tenant's share of the ops, 0 to 1.
 func (a *Arrivals) shareOf(tenant string) float64 {
 	sum, share := 0.0, 0.0
 	for _, t := range a.exp.Tenant {
@@ -93,15 +108,16 @@
 			share = t.Share
 		}
 	}
-	return share / max(sum, 1e-9)
+	return share / max(sum, minShareSum)
 }
 
+// choose draws an index, with probabilities in proportion to shares.
 func (a *Arrivals) choose(shares []float64) int {
 	sum := 0.0
 	for _, s := range shares {
 		sum += s
 	}
-	x := a.rnd.Float64() * sum
+	x := a.random.Float64() * sum
 	for i, s := range shares {
 		if x -= s; x < 0 {
 			return i
@@ -110,43 +126,51 @@
 	return len(shares) - 1
 }
 
-// Next draws the next op; false: the run is over.
+// Next draws the next op. It returns false at the end of the experiment.
 func (a *Arrivals) Next() (Arrival, bool) {
-	a.now += time.Duration(-math.Log(1-a.rnd.Float64()) / a.rate(a.now) * float64(time.Second))
+	a.now += time.Duration(-math.Log(1-a.random.Float64()) / a.rate(a.now) * float64(time.Second))
 	if a.now >= a.exp.Length.D() {
 		return Arrival{}, false
 	}
-	a.n++
-	o := Arrival{Due: a.now, N: a.n, Category: a.choose(a.cats), Zone: a.rnd.IntN(len(a.exp.Zones.Names)),
-		Patience: a.exp.Clients.Patience, Heeds: a.rnd.Float64() < a.exp.Clients.Heed, Pick: a.rnd.Uint64()}
-	shares := append([]float64(nil), a.whose...)
-	rank, hot := a.zipf.Uint64(), a.rnd.Float64()
+	a.drawn++
+	// The order of these draws is part of what a seed means.
+	op := Arrival{
+		Due:              a.now,
+		Seq:              a.drawn,
+		Category:         a.choose(a.categoryShares),
+		Zone:             a.random.IntN(len(a.exp.Zones.Names)),
+		WaitShare:        a.exp.Clients.Patience,
+		HonorsRetryAfter: a.random.Float64() < a.exp.Clients.Heed,
+		ProxyChoice:      a.random.Uint64(),
+	}
+	tenantShares := append([]float64(nil), a.tenantShares...)
+	rank, hotKeyDraw := a.zipf.Uint64(), a.random.Float64()
 	for _, f := range a.exp.Fault {
-		if !during(f, a.now) {
+		if !activeAt(f, a.now) {
 			continue
 		}
 		switch f.Kind {
 		case "runaway":
 			for i, t := range a.exp.Tenant {
 				if t.Name == f.Name {
-					shares[i] *= f.Size
+					tenantShares[i] *= f.Size
 				}
 			}
 		case "hot-key":
-			if hot < f.Size {
-				rank = uint64(a.exp.Keys.Count) + 1 + uint64(a.rnd.IntN(max(f.Count, 1)))
+			if hotKeyDraw < f.Size {
+				rank = uint64(a.exp.Keys.Count) + 1 + uint64(a.random.IntN(max(f.Count, 1)))
 			}
 		}
 	}
-	o.Key = KeyOf(a.exp, rank, a.now)
-	o.Tenant = a.choose(shares)
+	op.Key = KeyOf(a.exp, rank, a.now)
+	op.Tenant = a.choose(tenantShares)
 	for _, f := range a.exp.Fault {
-		if f.Kind == "impatient" && during(f, a.now) && (f.Name == "" || f.Name == a.exp.Tenant[o.Tenant].Name) {
-			o.Patience *= f.Size
+		if f.Kind == "impatient" && activeAt(f, a.now) && (f.Name == "" || f.Name == a.exp.Tenant[op.Tenant].Name) {
+			op.WaitShare *= f.Size
 		}
 	}
-	if a.rnd.Float64() < a.exp.Clients.Leave {
-		o.Leaves = 0.05 + 0.9*a.rnd.Float64()
+	if a.random.Float64() < a.exp.Clients.Leave {
+		op.LeaveShare = 0.05 + 0.9*a.random.Float64() // neither at once nor just before the answer is due
 	}
-	return o, true
+	return op, true
 }
--- /dev/null
+++ b/lab/load/balancer.go
@@ -0,0 +1,217 @@
+package load
+
+import (
+	"errors"
+	"net"
+	"slices"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"minttray/lab/experiment"
+	"minttray/lab/ways"
+)
+
+const (
+	// connectGrace is how long after SIGTERM a proxy still gets new connections. Open connections are used for as long as
+	// they stay open.
+	connectGrace = 300 * time.Millisecond
+	// pingFailureDelay is how long after its first negative answer to PING a proxy still gets clients.
+	pingFailureDelay = 200 * time.Millisecond
+	// dialTimeout bounds the time to open a connection.
+	dialTimeout = time.Second
+	// maxIdleConns is the largest number of idle connections per proxy.
+	maxIdleConns = 256
+)
+
+// Proxy is a proxy instance as the balancer sees it. One instance may be served by several processes in turn.
+type Proxy struct {
+	Addr     string
+	Zone     int
+	Endpoint ways.End
+	// Incarnation is the number of the process that serves now, unique over all proxies; 0 if none does.
+	Incarnation atomic.Uint32
+
+	mu             sync.Mutex
+	diedAt         time.Time // zero if it is not known to have died
+	pingFailedAt   time.Time // first negative answer to PING since the last positive one; zero if there is none
+	terminatedAt   time.Time // when its process was sent SIGTERM; zero if it was not
+	idle           []*conn
+	processStarted time.Time // when its process began to serve
+	restarted      bool      // the process is not its first
+}
+
+// Balancer distributes clients' connections over proxies.
+type Balancer struct {
+	Proxies []*Proxy
+	// ConnsOpened counts opened connections.
+	ConnsOpened atomic.Int64
+	// ConnsRefused counts connections that a proxy's machine refused or nobody answered.
+	ConnsRefused atomic.Int64
+
+	// Links holds the faults of links between clients and proxies; nil if there are none.
+	Links *ways.Table
+
+	exp *experiment.File
+}
+
+// NewBalancer returns a balancer for proxies.
+func NewBalancer(exp *experiment.File, proxies []*Proxy) *Balancer {
+	return &Balancer{exp: exp, Proxies: proxies}
+}
+
+// MarkDown records that the proxy's process is gone. The balancer reacts to it only after the experiment's notice time.
+func (p *Proxy) MarkDown() {
+	p.mu.Lock()
+	p.diedAt = time.Now()
+	p.mu.Unlock()
+}
+
+// MarkUp records that a process of the proxy serves.
+func (p *Proxy) MarkUp() {
+	p.mu.Lock()
+	p.diedAt, p.terminatedAt = time.Time{}, time.Time{}
+	p.restarted = !p.processStarted.IsZero()
+	p.processStarted = time.Now()
+	p.mu.Unlock()
+}
+
+// MarkTerminating records that the proxy's process was sent SIGTERM.
+func (p *Proxy) MarkTerminating() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.terminatedAt.IsZero() {
+		p.terminatedAt = time.Now()
+	}
+}
+
+// refusesConns reports whether the proxy gets no new connections. The caller holds the mutex.
+func (p *Proxy) refusesConns() bool {
+	return !p.terminatedAt.IsZero() && time.Since(p.terminatedAt) > connectGrace
+}
+
+// hasIdleConn reports whether an idle connection is open. The caller holds the mutex.
+func (p *Proxy) hasIdleConn() bool {
+	return slices.ContainsFunc(p.idle, func(c *conn) bool { return !c.isClosed() })
+}
+
+// ProcessAge returns how long the proxy's process has served, and whether the proxy had another process before.
+func (p *Proxy) ProcessAge() (age time.Duration, restarted bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return time.Since(p.processStarted), p.restarted
+}
+
+// RecordPing records whether the proxy's answer to PING was positive.
+func (p *Proxy) RecordPing(ok bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if ok {
+		p.pingFailedAt = time.Time{}
+	} else if p.pingFailedAt.IsZero() {
+		p.pingFailedAt = time.Now()
+	}
+}
+
+// IdleConns returns the number of open connections without an op in progress.
+func (p *Proxy) IdleConns() (n int) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for _, c := range p.idle {
+		if !c.isClosed() {
+			n++
+		}
+	}
+	return n
+}
+
+// pick chooses a proxy in the client's zone. Proxies that are known to be dead, or that refuse clients, are chosen only if
+// there is no other.
+func (b *Balancer) pick(zone int, choice uint64, at time.Duration) *Proxy {
+	for _, f := range b.exp.Fault {
+		if f.Kind == "hot-proxy" && activeAt(f, at) && float64(Mix64(choice)>>11)/mantissaRange < f.Size {
+			return b.Proxies[min(f.Count, len(b.Proxies)-1)]
+		}
+	}
+	var sameZone, available []*Proxy
+	for _, p := range b.Proxies {
+		p.mu.Lock()
+		excluded := !p.diedAt.IsZero() && time.Since(p.diedAt) > b.exp.Front.Notice.D() ||
+			!p.pingFailedAt.IsZero() && time.Since(p.pingFailedAt) > pingFailureDelay || p.refusesConns() && !p.hasIdleConn()
+		p.mu.Unlock()
+		if excluded {
+			continue
+		}
+		if available = append(available, p); p.Zone == zone {
+			sameZone = append(sameZone, p)
+		}
+	}
+	candidates := sameZone
+	if len(candidates) == 0 {
+		candidates = available
+	}
+	if len(candidates) == 0 {
+		candidates = b.Proxies
+	}
+	return candidates[choice%uint64(len(candidates))]
+}
+
+var errTerminating = errors.New("the proxy process is terminating and accepts no connections")
+
+// clientEndpoint is the clients' end of links to and from a zone.
+func clientEndpoint(zone int) ways.End { return ways.End{Site: zone, Name: "clients"} }
+
+// linkFaulty reports whether a link between a zone's clients and a proxy has a fault, so that an answer given in time may
+// arrive late.
+func (b *Balancer) linkFaulty(zone int, p *Proxy) bool {
+	return b.Links != nil && b.Links.Broken(clientEndpoint(zone), p.Endpoint)
+}
+
+// dial returns an idle connection from a zone to a proxy, or opens one.
+func (b *Balancer) dial(p *Proxy, zone int, g *Generator) (*conn, error) {
+	p.mu.Lock()
+	for n := len(p.idle) - 1; n >= 0; n-- {
+		c := p.idle[n]
+		if b.Links != nil && c.zone != zone {
+			continue
+		}
+		p.idle = slices.Delete(p.idle, n, n+1)
+		if !c.isClosed() {
+			p.mu.Unlock()
+			return c, nil
+		}
+	}
+	refuses := p.refusesConns()
+	p.mu.Unlock()
+	if refuses {
+		b.ConnsRefused.Add(1)
+		return nil, errTerminating
+	}
+	processBefore := p.Incarnation.Load()
+	var netConn net.Conn
+	var err error
+	if b.Links != nil {
+		netConn, err = b.Links.Dial(clientEndpoint(zone), p.Endpoint, p.Addr, dialTimeout)
+	} else {
+		netConn, err = net.DialTimeout("tcp", p.Addr, dialTimeout)
+	}
+	if err != nil {
+		b.ConnsRefused.Add(1)
+		return nil, err
+	}
+	b.ConnsOpened.Add(1)
+	c := &conn{netConn: netConn, proxy: p, zone: zone, process: max(processBefore, p.Incarnation.Load()), generator: g}
+	go c.read()
+	return c, nil
+}
+
+// release returns a connection without an op in progress to its proxy's idle connections, or closes it.
+func (b *Balancer) release(c *conn) {
+	c.proxy.mu.Lock()
+	defer c.proxy.mu.Unlock()
+	if len(c.proxy.idle) < maxIdleConns && !c.isClosed() {
+		c.proxy.idle = append(c.proxy.idle, c)
+	} else {
+		c.netConn.Close()
+	}
+}
--- a/lab/load/conn.go
+++ b/lab/load/conn.go
@@ -13,101 +13,105 @@
 	"minttray/lab/ledger"
 )
 
-// conn is one client's connection: one op at a time. Its reader goes on between ops, so that a second answer to the
-// last one is seen.
+// maxValueSize is the largest accepted value, in bytes.
+const maxValueSize = 4 << 20
+
+// conn is a client's connection to a proxy, which carries one op at a time. Its reader also runs between ops, so that it
+// sees a second answer to the last op.
 type conn struct {
-	nc    net.Conn
-	proxy *Proxy
-	zone  int // of its client
-	life  uint32
-	load  *Load
+	netConn   net.Conn
+	proxy     *Proxy
+	zone      int    // of its client
+	process   uint32 // the proxy process, as the ledger numbers it
+	generator *Generator
 
-	mu    sync.Mutex
-	op    uint64 // the last one asked
-	name  string
-	got   chan answer // nil: nothing is waited for
-	over  bool
-	asked int // ops so far
+	mu        sync.Mutex
+	op        uint64        // the last op sent
+	valueName string        // the prefix of the value that op has to be answered with
+	pending   chan<- answer // nil if no op waits for an answer
+	closed    bool
+	opsSent   int
 }
 
-// begin says that an op is about to be sent; the answer comes over the channel that it gives.
-func (c *conn) begin(op uint64, name string) <-chan answer {
+// begin registers an op that is about to be sent, and returns the channel that its answer comes on.
+func (c *conn) begin(op uint64, valueName string) <-chan answer {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	got := make(chan answer, 1)
-	c.op, c.name, c.got = op, name, got
-	c.asked++
-	if c.over {
-		c.got = nil
-		got <- answer{how: unreached}
+	answers := make(chan answer, 1)
+	c.op, c.valueName, c.pending = op, valueName, answers
+	c.opsSent++
+	if c.closed {
+		c.pending = nil
+		answers <- answer{result: resultUnreached}
 	}
-	return got
+	return answers
 }
 
-// quit ends the connection with its answer owed; false: the answer has come.
-func (c *conn) quit() bool {
+// abort closes the connection if its op has no answer yet. It returns false if the answer has come.
+func (c *conn) abort() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.got == nil {
+	if c.pending == nil {
 		return false
 	}
-	c.got, c.over = nil, true
-	c.nc.Close()
+	c.pending, c.closed = nil, true
+	c.netConn.Close()
 	return true
 }
 
-func (c *conn) ended() bool {
+// isClosed reports whether the connection has ended.
+func (c *conn) isClosed() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.over
+	return c.closed
 }
 
-// read takes answers until the connection ends.
+// read reads answers until the connection ends, and records each in the ledger.
 func (c *conn) read() {
-	r := bufio.NewReader(c.nc)
+	r := bufio.NewReader(c.netConn)
 	for {
-		how, back, err := c.next(r)
-		now := c.load.now()
+		result, retryAfter, err := c.readAnswer(r)
+		now := c.generator.now()
 		c.mu.Lock()
-		got, op, quit := c.got, c.op, c.over
-		c.got = nil
+		pending, op, aborted := c.pending, c.op, c.closed
+		c.pending = nil
 		if err != nil {
-			c.over = true
+			c.closed = true
 		}
 		c.mu.Unlock()
 		switch {
-		case err == nil: // with nobody waiting, this is one answer more than there may be
-			c.load.book.Append(ledger.Record{Kind: ledger.OpAnswered, At: now, Op: op, A: how, B: uint32(back.Milliseconds())})
-		case got != nil && !quit:
+		case err == nil: // also without a pending op: the ledger has to show a second answer
+			c.generator.ledger.Append(ledger.Record{Kind: ledger.OpAnswered, At: now, Op: op, A: result, B: uint32(retryAfter.Milliseconds())})
+		case pending != nil && !aborted:
 			c.mu.Lock()
-			reused := c.asked > 1
+			reused := c.opsSent > 1
 			c.mu.Unlock()
-			switch how = ledger.AnswerClosed; {
-			case errors.Is(err, errHalf):
-				how = ledger.AnswerTruncated
+			switch result = ledger.AnswerClosed; {
+			case errors.Is(err, errTruncated):
+				result = ledger.AnswerTruncated
 			case reused:
-				how = ledger.AnswerIdleClosed
+				result = ledger.AnswerIdleClosed
 			}
-			c.load.book.Append(ledger.Record{Kind: ledger.OpAnswered, At: now, Op: op, A: how})
+			c.generator.ledger.Append(ledger.Record{Kind: ledger.OpAnswered, At: now, Op: op, A: result})
 		}
-		if got != nil {
-			got <- answer{how: how, back: back}
+		if pending != nil {
+			pending <- answer{result: result, retryAfter: retryAfter}
 		}
 		if err != nil {
-			c.nc.Close()
+			c.netConn.Close()
 			return
 		}
 	}
 }
 
-var errHalf = errors.New("an answer that did not end")
+var errTruncated = errors.New("connection ended within an answer")
 
-// next reads one answer.
-func (c *conn) next(r *bufio.Reader) (how uint32, back time.Duration, err error) {
+// readAnswer reads one answer. result is one of the ledger's Answer constants.
+func (c *conn) readAnswer(r *bufio.Reader) (result uint32, retryAfter time.Duration, err error) {
 	line, err := r.ReadString('\n')
 	if err != nil {
 		if line != "" {
-			err = errHalf
+			err = errTruncated
 		}
 		return ledger.AnswerClosed, 0, err
 	}
@@ -120,15 +124,15 @@
 		return ledger.AnswerNacked, time.Duration(ms) * time.Millisecond, nil
 	case line[0] == '$':
 		size, err := strconv.Atoi(line[1:])
-		if err != nil || size < 0 || size > 4<<20 {
+		if err != nil || size < 0 || size > maxValueSize {
 			return ledger.AnswerDeadLettered, 0, nil
 		}
 		value := make([]byte, size+2)
 		if _, err := io.ReadFull(r, value); err != nil {
-			return ledger.AnswerTruncated, 0, errHalf
+			return ledger.AnswerTruncated, 0, errTruncated
 		}
 		c.mu.Lock()
-		name := c.name
+		name := c.valueName
 		c.mu.Unlock()
 		if !strings.HasPrefix(string(value), name+" ") {
 			return ledger.AnswerWrongValue, 0, nil
--- a/lab/load/load_test.go
+++ b/lab/load/load_test.go
@@ -14,7 +14,7 @@
 	"minttray/lab/measure"
 )
 
-// The load hangs on the seed alone, and does what the file says.
+// TestArrivals checks that the load depends on nothing but the seed, and follows the surges and faults of the experiment.
 func TestArrivals(t *testing.T) {
 	x, err := experiment.Decode("x", []byte(`name = "x"
 length = "20s"
@@ -44,64 +44,67 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	draw := func(seed uint64) (all []Arrival) {
+	draw := func(seed uint64) (ops []Arrival) {
 		x.Seed = seed
-		for a := New(x); ; {
-			o, more := a.Next()
+		for arrivals := NewArrivals(x); ; {
+			op, more := arrivals.Next()
 			if !more {
-				return all
+				return ops
 			}
-			all = append(all, o)
+			ops = append(ops, op)
 		}
 	}
-	all, again, other := draw(1), draw(1), draw(2)
-	count, hot, short := [4]int{}, map[uint64]int{}, [2]int{}
-	for i, o := range all {
-		if o != again[i] {
-			t.Fatalf("op %d differs under the same seed: %+v, %+v", i, o, again[i])
+	ops, sameSeed, otherSeed := draw(1), draw(1), draw(2)
+	opsByQuarter := [4]int{}
+	opsByHotKey := map[uint64]int{} // in the last quarter
+	impatientByTenant := [2]int{}
+	for i, op := range ops {
+		if op != sameSeed[i] {
+			t.Fatalf("op %d differs with the same seed: %+v, %+v", i, op, sameSeed[i])
 		}
-		quarter := int(o.Due / (5 * time.Second))
-		if count[quarter]++; quarter == 3 {
-			hot[o.Key]++
+		quarter := int(op.Due / (5 * time.Second))
+		if opsByQuarter[quarter]++; quarter == 3 {
+			opsByHotKey[op.Key]++
 		}
-		if o.Patience < x.Clients.Patience {
-			short[o.Tenant]++
+		if op.WaitShare < x.Clients.Patience {
+			impatientByTenant[op.Tenant]++
 			if quarter > 0 {
-				t.Fatalf("impatient at %v", o.Due)
+				t.Fatalf("an impatient client at %v, after the end of the fault", op.Due)
 			}
 		}
 	}
-	most := 0
-	for _, n := range hot {
-		most = max(most, n)
+	hottest := 0
+	for _, n := range opsByHotKey {
+		hottest = max(hottest, n)
 	}
-	if float64(count[2]) < 1.8*float64(count[1]) || float64(count[2]) > 2.2*float64(count[1]) {
-		t.Errorf("surge: %v", count)
+	if float64(opsByQuarter[2]) < 1.8*float64(opsByQuarter[1]) || float64(opsByQuarter[2]) > 2.2*float64(opsByQuarter[1]) {
+		t.Errorf("ops by quarter %v, want twice as many in the surge", opsByQuarter)
 	}
-	if most < count[3]*4/10 || short[0] > 0 || short[1] < count[0]*4/10 {
-		t.Errorf("hot key %d of %d, impatient %v", most, count[3], short)
+	if hottest < opsByQuarter[3]*4/10 || impatientByTenant[0] > 0 || impatientByTenant[1] < opsByQuarter[0]*4/10 {
+		t.Errorf("hottest key has %d of %d ops, impatient ops by tenant %v", hottest, opsByQuarter[3], impatientByTenant)
 	}
-	if len(other) == len(all) || other[0] == all[0] {
-		t.Error("another seed gives the same")
+	if len(otherSeed) == len(ops) || otherSeed[0] == ops[0] {
+		t.Error("another seed gives the same load")
 	}
 }
 
-// A rigged proxy does what none may; the ledger must know of each.
-func TestWhatARiggedProxyDoesIsBooked(t *testing.T) {
+// TestLedgerShowsProxyFaults checks that the ledger shows each fault of a proxy that answers wrongly, twice, in part or
+// not at all.
+func TestLedgerShowsProxyFaults(t *testing.T) {
 	value := func(id string) string { return "$" + "18\r\n" + id + " v\r\n" }
 	for _, c := range []struct {
-		name   string
-		answer func(id string) []string // each written by itself; "" closes
-		broken string
+		name    string
+		answers func(id string) []string // each is written by itself; "" closes the connection
+		rule    string                   // that the ledger finds violated
 	}{
-		{"right", func(id string) []string { return []string{value(id)} }, ""},
-		{"in pieces", func(id string) []string { return []string{value(id)[:9], value(id)[9:]} }, ""},
-		{"refuses", func(string) []string { return []string{"-BUSY 5\r\n"} }, ""},
-		{"answers twice", func(id string) []string { return []string{value(id), "-BUSY\r\n"} }, ledger.RuleAnsweredTwice},
-		{"another's value", func(string) []string { return []string{value("00000000000000aa")} }, ledger.RuleAnswerLost},
-		{"half a value", func(id string) []string { return []string{value(id)[:12], ""} }, ledger.RuleAnswerLost},
-		{"hangs up", func(string) []string { return []string{""} }, ledger.RuleAnswerLost},
-		{"says nothing", func(string) []string { return nil }, ledger.RuleAnswerLost},
+		{"correct value", func(id string) []string { return []string{value(id)} }, ""},
+		{"value in two writes", func(id string) []string { return []string{value(id)[:9], value(id)[9:]} }, ""},
+		{"refusal", func(string) []string { return []string{"-BUSY 5\r\n"} }, ""},
+		{"two answers", func(id string) []string { return []string{value(id), "-BUSY\r\n"} }, ledger.RuleAnsweredTwice},
+		{"value of another op", func(string) []string { return []string{value("00000000000000aa")} }, ledger.RuleAnswerLost},
+		{"truncated value", func(id string) []string { return []string{value(id)[:12], ""} }, ledger.RuleAnswerLost},
+		{"closed connection", func(string) []string { return []string{""} }, ledger.RuleAnswerLost},
+		{"no answer", func(string) []string { return nil }, ledger.RuleAnswerLost},
 	} {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -109,28 +112,28 @@
 		}
 		go func() {
 			for {
-				nc, err := l.Accept()
+				netConn, err := l.Accept()
 				if err != nil {
 					return
 				}
 				go func() {
-					r := bufio.NewReader(nc)
+					r := bufio.NewReader(netConn)
 					for {
 						line, err := r.ReadString('\n')
 						if err != nil {
 							return
 						}
-						if len(line) == 18 && strings.Trim(line, "0123456789abcdef\r\n") == "" {
-							if _, err := r.ReadString('\n'); err != nil { // the length before the id, or before the properties
+						if len(line) == 18 && strings.Trim(line, "0123456789abcdef\r\n") == "" { // the key, in hexadecimal
+							if _, err := r.ReadString('\n'); err != nil { // the length before the ID, or before the properties
 								return
 							}
 							id, _ := r.ReadString('\n')
-							for _, text := range c.answer(strings.TrimSpace(id)) {
+							for _, text := range c.answers(strings.TrimSpace(id)) {
 								if text == "" {
-									nc.Close()
+									netConn.Close()
 									return
 								}
-								nc.Write([]byte(text))
+								netConn.Write([]byte(text))
 								time.Sleep(5 * time.Millisecond)
 							}
 						}
@@ -144,26 +147,26 @@
 			t.Fatal(err)
 		}
 		path := filepath.Join(t.TempDir(), "ledger")
-		book, _ := ledger.Create(path)
+		records, _ := ledger.Create(path)
 		p := &Proxy{Addr: l.Addr().String()}
 		p.Incarnation.Store(1)
-		load := NewGenerator(x, NewBalancer(x, []*Proxy{p}), book, measure.NewMeter(x), time.Now())
-		a, _ := New(x).Next()
-		a.Leaves, a.Patience = 0, 0.3
-		load.ask(a, load.now())
-		time.Sleep(50 * time.Millisecond) // an answer too many is on its way
-		if _, err := book.Close(); err != nil {
+		generator := NewGenerator(x, NewBalancer(x, []*Proxy{p}), records, measure.NewMeter(x), time.Now())
+		arrival, _ := NewArrivals(x).Next()
+		arrival.LeaveShare, arrival.WaitShare = 0, 0.3
+		generator.runOp(arrival, generator.now())
+		time.Sleep(50 * time.Millisecond) // a second answer may be on its way
+		if _, err := records.Close(); err != nil {
 			t.Fatal(err)
 		}
 		l.Close()
 		in, _ := os.Open(path)
-		j := ledger.NewJudge(ledger.RuleParams{Categories: []ledger.Category{{TTL: 2 * time.Second, Effect: "redeliverable"}}, Slack: time.Second, MaxPushes: 5})
-		if err := ledger.Read(in, j.Add); err != nil {
+		judge := ledger.NewJudge(ledger.RuleParams{Categories: []ledger.Category{{TTL: 2 * time.Second, Effect: "redeliverable"}}, Slack: time.Second, MaxPushes: 5})
+		if err := ledger.Read(in, judge.Add); err != nil {
 			t.Fatal(err)
 		}
 		in.Close()
-		if v := j.Finish(); v.Ops != 1 || c.broken == "" && !v.Passed() || c.broken != "" && v.Violations[c.broken] != 1 {
-			t.Errorf("%s: %+v", c.name, v)
+		if v := judge.Finish(); v.Ops != 1 || c.rule == "" && !v.Passed() || c.rule != "" && v.Violations[c.rule] != 1 {
+			t.Errorf("%s: verdict %+v, want violation %q", c.name, v, c.rule)
 		}
 	}
 }
--- a/lab/logsum/logsum.go
+++ b/lab/logsum/logsum.go
@@ -1,5 +1,5 @@
-// Package logsum sums what the proxies of a fleet wrote into their logs: counters by span of time, and lines by message.
-// One proxy's counters show little where eighty do the same; their sum shows it.
+// Package logsum sums the log files of a fleet of proxies: counters by interval of time, and other lines by message. An
+// effect that is small in the counters of one proxy shows in the sum over many.
 package logsum
 
 import (
@@ -21,51 +21,61 @@
 )
 
 const (
-	longestLine = 1 << 20
-	mostSpans   = 100_000 // of time; a clock that jumped must not fill the memory
-	mostNames   = 1_000   // of counters or messages
+	maxLineLength = 1 << 20 // bytes
+	// maxIntervals bounds the distance of a line's interval from the first, so that a clock that jumps does not fill the
+	// memory.
+	maxIntervals = 100_000
+	// maxSeries bounds the number of counters and messages.
+	maxSeries = 1_000
+	// maxTimestamp is the largest accepted time, in Unix seconds.
+	maxTimestamp = 1e12
 )
 
-// Sum is what a folder of logs holds. Every line ends as exactly one of Counters, Said or Garbled.
+// countersMessage is the message of log lines that hold counters.
+const countersMessage = "counters"
+
+// Sum holds the sums over a directory of logs. Each line is counted in exactly one of CounterLines, OtherLines and Skipped.
 type Sum struct {
-	Span     time.Duration
-	Files    int
-	Lines    int
-	Counters int // lines of counters
-	Said     int // other log lines
-	Garbled  map[string]int
-	first    float64 // seconds, of the earliest line
-	begun    bool
-	by       map[string]map[int]float64 // counter or message, by span
+	Interval     time.Duration
+	Files        int
+	Lines        int // without empty ones
+	CounterLines int
+	OtherLines   int
+	// Skipped counts the lines that could not be read, by reason.
+	Skipped map[string]int
+
+	started   bool                       // a line was read
+	startTime float64                    // Unix seconds of the first line read, rounded down
+	series    map[string]map[int]float64 // sums by counter or message, then by interval
 }
 
-// levels are counters that say how much there is, not how much there was: of these the sum is the mean over a span.
-var levels = map[string]bool{"clients.open": true, "servers.open": true}
+// gauges are counters that report a current level. Their values are summed as they are, not as the difference to the last.
+var gauges = map[string]bool{"clients.open": true, "servers.open": true}
 
-// left out: the longest of something adds up to nothing.
-var passed = map[string]bool{"engine.queue_longest": true, "engine.queue_delay_ms": true, "engine.stall_ms": true,
+// ignoredCounters are left out because maxima and versions cannot be summed.
+var ignoredCounters = map[string]bool{"engine.queue_longest": true, "engine.queue_delay_ms": true, "engine.stall_ms": true,
 	"discovery.version": true}
 
-// ReadDir reads all files of a folder that end in .log, each one proxy's, and sums them by span.
-func ReadDir(dir string, span time.Duration) (*Sum, error) {
-	if span <= 0 {
-		return nil, fmt.Errorf("span: %v is not above 0", span)
+// ReadDir reads all files of a directory whose names end in .log, one per proxy, and sums them by interval.
+func ReadDir(dir string, interval time.Duration) (*Sum, error) {
+	if interval <= 0 {
+		return nil, fmt.Errorf("interval of %v is not positive", interval)
 	}
 	files, err := filepath.Glob(filepath.Join(dir, "*.log"))
 	if err != nil {
 		return nil, err
 	}
 	if len(files) == 0 {
-		return nil, fmt.Errorf("%s: holds no .log files", dir)
+		return nil, fmt.Errorf("%s: no .log files found", dir)
 	}
 	slices.Sort(files)
-	s := &Sum{Span: span, Garbled: map[string]int{}, by: map[string]map[int]float64{}}
+	s := &Sum{Interval: interval, Skipped: map[string]int{}, series: map[string]map[int]float64{}}
 	for _, name := range files {
 		f, err := os.Open(name)
 		if err != nil {
 			return nil, err
 		}
-		err = s.read(f)
+		err = s.readFile(f)
 		f.Close()
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", name, err)
@@ -75,15 +85,15 @@
 	return s, nil
 }
 
-// read takes one proxy's log. A line that can't be read is counted by reason and passed over.
-func (s *Sum) read(in io.Reader) error {
-	r := bufio.NewReaderSize(in, longestLine)
-	last := map[string]float64{}
+// readFile reads the log of one proxy. A line that cannot be read is counted by reason and skipped.
+func (s *Sum) readFile(in io.Reader) error {
+	r := bufio.NewReaderSize(in, maxLineLength)
+	previous := map[string]float64{} // the last value of each counter
 	for {
 		line, err := r.ReadSlice('\n')
 		if errors.Is(err, bufio.ErrBufferFull) {
 			s.Lines++
-			s.Garbled["too long"]++
+			s.Skipped["too long"]++
 			for errors.Is(err, bufio.ErrBufferFull) {
 				_, err = r.ReadSlice('\n')
 			}
@@ -91,8 +101,8 @@
 		}
 		if line = bytes.TrimSpace(line); len(line) > 0 {
 			s.Lines++
-			if why := s.line(line, last); why != "" {
-				s.Garbled[why]++
+			if reason := s.addLine(line, previous); reason != "" {
+				s.Skipped[reason]++
 			}
 		}
 		if err == io.EOF {
@@ -104,14 +114,17 @@
 	}
 }
 
-func (s *Sum) line(line []byte, last map[string]float64) (garbled string) {
-	at, stamped := 0.0, false
-	if head, rest, ok := bytes.Cut(line, []byte(" ")); ok && line[0] != '{' { // who kept the log put its own time ahead
-		seconds, err := strconv.ParseFloat(string(head), 64)
-		if err != nil || !(seconds >= 0 && seconds < 1e12) {
+// addLine adds a line to the sums. It returns the reason if it cannot be read. previous holds the last value of each
+// counter, and is updated.
+func (s *Sum) addLine(line []byte, previous map[string]float64) (skipReason string) {
+	seconds, hasTime := 0.0, false
+	// The program that collects the logs may put its own time, in Unix seconds, before the JSON text.
+	if prefix, rest, ok := bytes.Cut(line, []byte(" ")); ok && line[0] != '{' {
+		parsed, err := strconv.ParseFloat(string(prefix), 64)
+		if err != nil || !(parsed >= 0 && parsed < maxTimestamp) {
 			return "no time ahead"
 		}
-		at, stamped, line = seconds, true, bytes.TrimSpace(rest)
+		seconds, hasTime, line = parsed, true, bytes.TrimSpace(rest)
 	}
 	var fields map[string]any
 	if err := json.Unmarshal(line, &fields); err != nil {
@@ -121,108 +134,111 @@
 	if !ok {
 		return "no message"
 	}
-	if ms, ok := fields["time"].(float64); !stamped && ok {
-		at, stamped = ms/1000, true
+	if ms, ok := fields["time"].(float64); !hasTime && ok {
+		seconds, hasTime = ms/1000, true
 	}
-	if !stamped {
+	if !hasTime {
 		return "no time"
 	}
-	if !s.begun {
-		s.begun, s.first = true, math.Floor(at)
+	if !s.started {
+		s.started, s.startTime = true, math.Floor(seconds)
 	}
-	span := math.Floor((at - s.first) / s.Span.Seconds())
-	if math.Abs(span) > mostSpans {
+	interval := math.Floor((seconds - s.startTime) / s.Interval.Seconds())
+	if math.Abs(interval) > maxIntervals {
 		return "time far from the others"
 	}
-	if message != "counters" {
-		if message == "serving" { // a new process counts from nothing
-			clear(last)
+	if message != countersMessage {
+		if message == "serving" { // a new process, whose counters start at 0
+			clear(previous)
 		}
-		s.Said++
+		s.OtherLines++
 		level, _ := fields["level"].(string)
-		s.add(level+": "+message, int(span), 1)
+		s.add(level+": "+message, int(interval), 1)
 		return ""
 	}
-	s.Counters++
-	for part, object := range fields {
+	s.CounterLines++
+	for group, object := range fields {
 		counters, ok := object.(map[string]any)
 		if !ok {
 			continue
 		}
 		for name, value := range counters {
 			n, ok := value.(float64)
-			name = part + "." + name
+			name = group + "." + name
 			switch {
-			case !ok || passed[name]:
-			case levels[name]:
-				s.add(name, int(span), n)
+			case !ok || ignoredCounters[name]:
+			case gauges[name]:
+				s.add(name, int(interval), n)
 			default:
-				s.add(name, int(span), n-last[name])
-				last[name] = n
+				s.add(name, int(interval), n-previous[name])
+				previous[name] = n
 			}
 		}
 	}
 	return ""
 }
 
-func (s *Sum) add(name string, span int, n float64) {
-	row := s.by[name]
-	if row == nil {
-		if len(s.by) >= mostNames {
+// add adds n to a series in an interval. Series beyond maxSeries are dropped.
+func (s *Sum) add(name string, interval int, n float64) {
+	values := s.series[name]
+	if values == nil {
+		if len(s.series) >= maxSeries {
 			return
 		}
-		row = map[int]float64{}
-		s.by[name] = row
+		values = map[int]float64{}
+		s.series[name] = values
 	}
-	row[span] += n
+	values[interval] += n
 }
 
-// Of gives a counter's sums by span, for its name as "engine.gave_up_no_room" or "warn: text of a line".
-func (s *Sum) Of(name string) map[int]float64 { return s.by[name] }
+// Series returns the sums of a counter or message by interval. Examples of names are "engine.gave_up_no_room" and
+// "warn: text of a line".
+func (s *Sum) Series(name string) map[int]float64 { return s.series[name] }
 
-// Write prints a row for each counter and message that is not nothing, a column for each span that holds anything.
+// Write prints a table of the series whose name contains match: a row per series with any sum that is not 0, a column per
+// interval in which any of them is not 0.
 func (s *Sum) Write(w io.Writer, match string) error {
-	spans := map[int]bool{}
+	nonZero := map[int]bool{}
 	var names []string
-	for name, row := range s.by {
+	for name, values := range s.series {
 		if !strings.Contains(name, match) {
 			continue
 		}
-		some := false
-		for span, n := range row {
+		show := false
+		for interval, n := range values {
 			if math.Round(n) != 0 {
-				spans[span], some = true, true
+				nonZero[interval], show = true, true
 			}
 		}
-		if some {
+		if show {
 			names = append(names, name)
 		}
 	}
 	slices.Sort(names)
 	var columns []int
-	for span := range spans {
-		columns = append(columns, span)
+	for interval := range nonZero {
+		columns = append(columns, interval)
 	}
 	slices.Sort(columns)
-	fmt.Fprintf(w, "%d files, %d lines: %d of counters, %d others", s.Files, s.Lines, s.Counters, s.Said)
-	var whys []string
-	for why, n := range s.Garbled {
-		whys = append(whys, fmt.Sprintf("%d %s", n, why))
-	}
-	slices.Sort(whys)
-	fmt.Fprintf(w, "; passed over: %s\n", cmp.Or(strings.Join(whys, ", "), "none"))
-	out := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprint(out, "seconds from\t")
-	for _, span := range columns {
-		fmt.Fprintf(out, "%g\t", float64(span)*s.Span.Seconds())
-	}
-	fmt.Fprintln(out)
+	fmt.Fprintf(w, "%d files, %d lines: %d of counters, %d others", s.Files, s.Lines, s.CounterLines, s.OtherLines)
+	var skipped []string
+	for reason, n := range s.Skipped {
+		skipped = append(skipped, fmt.Sprintf("%d %s", n, reason))
+	}
+	slices.Sort(skipped)
+	fmt.Fprintf(w, "; passed over: %s\n", cmp.Or(strings.Join(skipped, ", "), "none"))
+	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
+	fmt.Fprint(table, "seconds from\t")
+	for _, interval := range columns {
+		fmt.Fprintf(table, "%g\t", float64(interval)*s.Interval.Seconds())
+	}
+	fmt.Fprintln(table)
 	for _, name := range names {
-		fmt.Fprintf(out, "%s\t", name)
-		for _, span := range columns {
-			fmt.Fprintf(out, "%.0f\t", s.by[name][span])
+		fmt.Fprintf(table, "%s\t", name)
+		for _, interval := range columns {
+			fmt.Fprintf(table, "%.0f\t", s.series[name][interval])
 		}
-		fmt.Fprintln(out)
+		fmt.Fprintln(table)
 	}
-	return out.Flush()
+	return table.Flush()
 }
--- a/lab/measure/measure.go
+++ b/lab/measure/measure.go
@@ -1,5 +1,5 @@
-// Package measure counts what clients got: service by second, spans of answers by category and tenant in HDR
-// histograms, the lab's own lateness, and what the proxies' processes use.
+// Package measure computes what clients received: service by second, latencies by category and tenant in HDR histograms,
+// the lab's own delays in sending, and the resources that the proxy processes use.
 package measure
 
 import (
@@ -12,316 +12,367 @@
 	"minttray/lab/experiment"
 )
 
-// Outcome is how one op, with all its tries, ended for its client.
+// Outcome is the end of an op, with all its tries, for its client.
 type Outcome struct {
-	Due      time.Duration // when it was due, on the run's clock
-	Span     time.Duration // from due to its answer
+	Due      time.Duration // when the op was due, from the start of the load
+	Latency  time.Duration // from the time due to the answer
 	Category int
 	Tenant   int
 	Acked    bool
 	Tries    int
 	Nacks    int
-	Failed   bool // dead-lettered, closed, or never reached a proxy
-	Left     bool // its client went away by itself: counts for nothing
+	Failed   bool // no try was acked
+	Left     bool // the client left by itself; the op counts neither as served nor as failed
 }
 
-// Second is one second of a run.
+// Second holds the measurements of one second of a run.
 type Second struct {
-	Ops      int     `json:"ops"`
-	BenefitRequested    float64 `json:"asked"`
-	BenefitInTime   float64 `json:"in_time"`
-	Late     int     `json:"late"`
-	Nacked   int     `json:"nacked"`
-	Failed   int     `json:"failed"`
-	Tries    int     `json:"tries"`
-	P50      float64 `json:"p50_ms"`
-	P99      float64 `json:"p99_ms"`
-	Fetches  int64   `json:"fetches"`
-	Conns    int     `json:"connections"`
-	ConnsOpened   int64   `json:"opened"`
-	QueuedRequests  int     `json:"waiting"` // at all caches
-	CPU      float64 `json:"cpu"`     // cores of all proxies
+	// Ops is the number of ops that were due.
+	Ops int `json:"ops"`
+	// BenefitRequested is the sum of the benefits of these ops.
+	BenefitRequested float64 `json:"asked"`
+	// BenefitInTime is the part of it that was answered within the target latency.
+	BenefitInTime float64 `json:"in_time"`
+	// Late is the number of ops that were acked after the target latency.
+	Late int `json:"late"`
+	// Nacked is the number of tries that were nacked.
+	Nacked int `json:"nacked"`
+	// Failed is the number of ops of which no try was acked.
+	Failed int `json:"failed"`
+	// Tries is the number of tries of these ops.
+	Tries int `json:"tries"`
+	// P50 and P99 are latencies of acked ops, in ms.
+	P50 float64 `json:"p50_ms"`
+	P99 float64 `json:"p99_ms"`
+	// Fetches is the number of fetches from the origin.
+	Fetches int64 `json:"fetches"`
+	// Conns is the number of open connections to caches.
+	Conns int `json:"connections"`
+	// ConnsOpened is the number of connections that clients opened.
+	ConnsOpened int64 `json:"opened"`
+	// QueuedRequests is the number of requests that wait at all caches.
+	QueuedRequests int `json:"waiting"`
+	// CPU is the number of cores that all proxies use.
+	CPU float64 `json:"cpu"`
+	// MemoryMB is the memory of the proxies, in MiB.
 	MemoryMB float64 `json:"memory_mb"`
-	hist     *hdrhistogram.Histogram
+
+	latencies *hdrhistogram.Histogram // µs
 }
 
-// Part is the figures of a category, a tenant, or all.
-type Part struct {
+// GroupStats holds the measurements of a category, a tenant, or all ops.
+type GroupStats struct {
 	Name    string  `json:"name"`
 	Ops     int     `json:"ops"`
-	Service float64 `json:"service"` // benefit answered in time, of that asked for
+	Service float64 `json:"service"` // benefit answered in time, as a share of the benefit requested
 	P50     float64 `json:"p50_ms"`
 	P90     float64 `json:"p90_ms"`
 	P99     float64 `json:"p99_ms"`
 	P999    float64 `json:"p999_ms"`
 	Max     float64 `json:"max_ms"`
 
-	asked, inTime float64
-	hist          *hdrhistogram.Histogram
+	benefitRequested float64
+	benefitInTime    float64
+	latencies        *hdrhistogram.Histogram // µs
 }
 
-// Meter takes outcomes from any goroutine.
+// Meter collects outcomes. It is safe for concurrent use.
 type Meter struct {
-	mu       sync.Mutex
-	exp      *experiment.File
-	seconds  []*Second
-	all      *Part
-	cats     []*Part
-	tenants  []*Part
-	late     *hdrhistogram.Histogram // µs
-	tries    int
-	overload int
-	ages     [ageSteps]Age // of tries at processes that are not their proxy's first
-	peers    Age           // and of all others
+	mu            sync.Mutex
+	exp           *experiment.File
+	seconds       []*Second
+	total         *GroupStats
+	categories    []*GroupStats
+	tenants       []*GroupStats
+	sendDelays    *hdrhistogram.Histogram // µs
+	tries         int
+	unsent        int
+	restartedAges [ageBuckets]AgeBucket // tries at restarted processes
+	peers         AgeBucket             // all other tries
 }
 
-// Age is what tries got from processes that had served for so long.
-type Age struct {
-	From    float64 `json:"from_s"`
-	Tries   int     `json:"tries"`
-	Service float64 `json:"service"` // benefit answered within the target latency of the try, of that asked for
+// AgeBucket holds the measurements of tries at processes of one range of age.
+type AgeBucket struct {
+	FromSeconds float64 `json:"from_s"`
+	Tries       int     `json:"tries"`
+	Service     float64 `json:"service"` // benefit answered within the target latency of the try, as a share of that requested
 
-	asked, inTime float64
+	benefitRequested float64
+	benefitInTime    float64
 }
 
-func (a *Age) take(benefit float64, inTime bool) {
+// add counts a try.
+func (a *AgeBucket) add(benefit float64, inTime bool) {
 	a.Tries++
-	if a.asked += benefit; inTime {
-		a.inTime += benefit
+	if a.benefitRequested += benefit; inTime {
+		a.benefitInTime += benefit
 	}
 }
 
-func (a *Age) done() Age {
-	a.Service = a.inTime / max(a.asked, 1e-9)
+// summarize returns the bucket with its service computed.
+func (a *AgeBucket) summarize() AgeBucket {
+	a.Service = a.benefitInTime / max(a.benefitRequested, minBenefit)
 	return *a
 }
 
 const (
-	ageSteps = 20
-	ageStep  = 500 * time.Millisecond
+	ageBuckets     = 20
+	ageBucketWidth = 500 * time.Millisecond
+
+	// recoveredShare is the share of the reference service at which service counts as recovered.
+	recoveredShare = 0.98
+	// recoveryWindow is the number of seconds in a row that have to be recovered, so that a single good second does not count.
+	recoveryWindow = 2
+	// worstWindow is the length of the window for the worst service, in seconds.
+	worstWindow = 10
+	// minBenefit keeps divisions by a sum of benefits from dividing by zero.
+	minBenefit = 1e-9
+	// inTimeSendDelay is the delay in sending, in µs, up to which the lab counts as in time.
+	inTimeSendDelay = 5000
 )
 
-// Try books a try at a process that had served for so long; again: it is not its proxy's first.
-func (m *Meter) Try(age time.Duration, again bool, benefit float64, inTime bool) {
+// RecordTry counts a try at a process of the given age. restarted is set if the process is not the first of its proxy.
+func (m *Meter) RecordTry(processAge time.Duration, restarted bool, benefit float64, inTime bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if n := int(age / ageStep); again && n < ageSteps {
-		m.ages[n].take(benefit, inTime)
+	if n := int(processAge / ageBucketWidth); restarted && n < ageBuckets {
+		m.restartedAges[n].add(benefit, inTime)
 	} else {
-		m.peers.take(benefit, inTime)
+		m.peers.add(benefit, inTime)
 	}
 }
 
-// settled is how long a process serves until it does as well as its peers, but for 2%, for a second on end; -1: never; 0
-// also if none came anew.
-func settled(ages []Age, peers Age) float64 {
-	seen := 0
+// settleSeconds returns the age at which restarted processes serve within 2% of their peers, for two buckets in a row. It
+// returns 0 if no process was restarted, and -1 if the processes never serve as well.
+func settleSeconds(ages []AgeBucket, peers AgeBucket) float64 {
+	tries := 0
 	for i := range ages {
-		if seen += ages[i].Tries; i+1 < len(ages) && ages[i].inTime+ages[i+1].inTime >= 0.98*peers.Service*(ages[i].asked+ages[i+1].asked) {
-			return float64(i) * ageStep.Seconds()
+		if tries += ages[i].Tries; i+1 < len(ages) && ages[i].benefitInTime+ages[i+1].benefitInTime >= recoveredShare*peers.Service*(ages[i].benefitRequested+ages[i+1].benefitRequested) {
+			return float64(i) * ageBucketWidth.Seconds()
 		}
 	}
-	if seen == 0 {
+	if tries == 0 {
 		return 0
 	}
 	return -1
 }
 
-func hist() *hdrhistogram.Histogram {
+// newHistogram returns a histogram for times up to 10 minutes in µs, with 3 significant digits.
+func newHistogram() *hdrhistogram.Histogram {
 	return hdrhistogram.New(1, int64(10*time.Minute/time.Microsecond), 3)
 }
 
-// NewMeter makes one.
+// NewMeter returns a meter for a run of an experiment.
 func NewMeter(exp *experiment.File) *Meter {
-	m := &Meter{exp: exp, all: &Part{Name: "all", hist: hist()}, late: hist()}
+	m := &Meter{exp: exp, total: &GroupStats{Name: "all", latencies: newHistogram()}, sendDelays: newHistogram()}
 	for _, c := range exp.Category {
-		m.cats = append(m.cats, &Part{Name: c.Name, hist: hist()})
+		m.categories = append(m.categories, &GroupStats{Name: c.Name, latencies: newHistogram()})
 	}
 	for _, t := range exp.Tenant {
-		m.tenants = append(m.tenants, &Part{Name: t.Name, hist: hist()})
+		m.tenants = append(m.tenants, &GroupStats{Name: t.Name, latencies: newHistogram()})
 	}
 	return m
 }
 
-// Second gives the record of a second, for figures that others fill in.
+// second returns the measurements of the second at a time. The caller holds the mutex.
 func (m *Meter) second(at time.Duration) *Second {
 	n := max(int(at/time.Second), 0)
 	for len(m.seconds) <= n {
-		m.seconds = append(m.seconds, &Second{hist: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 2)})
+		m.seconds = append(m.seconds, &Second{latencies: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 2)})
 	}
 	return m.seconds[n]
 }
 
-// UpdateSecond lets a sampler write its figures of a second.
-func (m *Meter) UpdateSecond(at time.Duration, do func(*Second)) {
+// UpdateSecond calls update with the measurements of the second at a time, while the meter is locked.
+func (m *Meter) UpdateSecond(at time.Duration, update func(*Second)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	do(m.second(at))
+	update(m.second(at))
 }
 
-// Late books how long after its due moment the lab sent a first try.
-func (m *Meter) Late(span time.Duration) {
+// RecordSendDelay records how long after it was due the lab sent the first try of an op.
+func (m *Meter) RecordSendDelay(delay time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.late.RecordValue(max(int64(span/time.Microsecond), 1))
+	m.sendDelays.RecordValue(max(int64(delay/time.Microsecond), 1))
 }
 
-// Overload books an op that the lab itself could not send.
-func (m *Meter) Overload() {
+// RecordUnsent counts an op that was not sent because the lab was overloaded.
+func (m *Meter) RecordUnsent() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.overload++
+	m.unsent++
 }
 
-// Take books an op's end.
-func (m *Meter) Take(o Outcome) {
+// RecordOutcome records the end of an op.
+func (m *Meter) RecordOutcome(o Outcome) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	c := m.exp.Category[o.Category]
-	inTime := o.Acked && o.Span <= c.Target.D()
-	s := m.second(o.Due)
-	s.Ops++
-	s.Tries += o.Tries
-	s.Nacked += o.Nacks
+	category := m.exp.Category[o.Category]
+	inTime := o.Acked && o.Latency <= category.Target.D()
+	second := m.second(o.Due)
+	second.Ops++
+	second.Tries += o.Tries
+	second.Nacked += o.Nacks
 	m.tries += o.Tries
 	if o.Left {
 		return
 	}
-	s.BenefitRequested += c.Benefit
+	second.BenefitRequested += category.Benefit
 	if inTime {
-		s.BenefitInTime += c.Benefit
+		second.BenefitInTime += category.Benefit
 	} else if o.Acked {
-		s.Late++
+		second.Late++
 	}
 	if o.Failed {
-		s.Failed++
+		second.Failed++
 	}
-	us := max(int64(o.Span/time.Microsecond), 1)
+	latency := max(int64(o.Latency/time.Microsecond), 1)
 	if o.Acked {
-		s.hist.RecordValue(us)
+		second.latencies.RecordValue(latency)
 	}
 	if o.Due < m.exp.Warm.D() {
 		return
 	}
-	for _, p := range []*Part{m.all, m.cats[o.Category], m.tenants[o.Tenant]} {
-		p.Ops++
-		p.asked += c.Benefit
+	for _, group := range []*GroupStats{m.total, m.categories[o.Category], m.tenants[o.Tenant]} {
+		group.Ops++
+		group.benefitRequested += category.Benefit
 		if inTime {
-			p.inTime += c.Benefit
+			group.benefitInTime += category.Benefit
 		}
 		if o.Acked {
-			p.hist.RecordValue(us)
+			group.latencies.RecordValue(latency)
 		}
 	}
 }
 
-// Stats is what a run measured.
+// Stats holds the measurements of a run. Total, Categories, Tenants and Worst10s leave out the warm-up time.
 type Stats struct {
-	Total        Part      `json:"all"`
-	Categories []Part    `json:"categories"`
-	Tenants    []Part    `json:"tenants"`
-	Seconds    []*Second `json:"seconds"`
-	Worst10s    float64   `json:"worst_10s"`
-	Worst10sStart  int       `json:"worst_10s_at"`
-	TriesPerOp float64   `json:"tries_per_op"`
-	RestartedByAge  []Age     `json:"restarted,omitempty"` // by how long a process that came anew had served
-	Peers      Age       `json:"peers"`
-	SettleSeconds    float64   `json:"settled_s"` // until such a process serves as well as its peers, but for 2%; -1: never
-	RecoverySeconds       float64   `json:"back_s"`    // from the end of the last fault until service is back; -1: not in this run
-	SendDelayP50    float64   `json:"lab_late_p50_ms"`
-	SendDelayP99    float64   `json:"lab_late_p99_ms"`
-	SentWithin5ms    float64   `json:"lab_sent_within_5ms"`
-	UnsentOps   int       `json:"lab_overload"`
+	Total      GroupStats   `json:"all"`
+	Categories []GroupStats `json:"categories"`
+	Tenants    []GroupStats `json:"tenants"`
+	Seconds    []*Second    `json:"seconds"`
+	// Worst10s is the service in the worst 10 seconds in a row.
+	Worst10s float64 `json:"worst_10s"`
+	// Worst10sStart is the first of these seconds.
+	Worst10sStart int     `json:"worst_10s_at"`
+	TriesPerOp    float64 `json:"tries_per_op"`
+	// RestartedByAge holds the tries at restarted processes, by the age of the process.
+	RestartedByAge []AgeBucket `json:"restarted,omitempty"`
+	// Peers holds all other tries.
+	Peers AgeBucket `json:"peers"`
+	// SettleSeconds is the age at which a restarted process serves within 2% of its peers; -1 if it never does.
+	SettleSeconds float64 `json:"settled_s"`
+	// RecoverySeconds is the time from the end of the last fault until service has recovered; -1 if it has not.
+	RecoverySeconds float64 `json:"back_s"`
+	// SendDelayP50 and SendDelayP99 are the delays with which the lab sent first tries, in ms.
+	SendDelayP50 float64 `json:"lab_late_p50_ms"`
+	SendDelayP99 float64 `json:"lab_late_p99_ms"`
+	// SentWithin5ms is the share of first tries that the lab sent within 5 ms of the time due.
+	SentWithin5ms float64 `json:"lab_sent_within_5ms"`
+	// UnsentOps is the number of ops that were not sent because the lab was overloaded.
+	UnsentOps int `json:"lab_overload"`
 }
 
-func ms(us int64) float64 { return float64(us) / 1000 }
+// milliseconds converts µs to ms.
+func milliseconds(us int64) float64 { return float64(us) / 1000 }
 
-func (p *Part) done() Part {
-	p.Service = p.inTime / max(p.asked, 1e-9)
-	p.P50, p.P90 = ms(p.hist.ValueAtQuantile(50)), ms(p.hist.ValueAtQuantile(90))
-	p.P99, p.P999 = ms(p.hist.ValueAtQuantile(99)), ms(p.hist.ValueAtQuantile(99.9))
-	p.Max = ms(p.hist.Max())
-	return *p
+// summarize returns the measurements with service and latencies computed.
+func (g *GroupStats) summarize() GroupStats {
+	g.Service = g.benefitInTime / max(g.benefitRequested, minBenefit)
+	g.P50 = milliseconds(g.latencies.ValueAtQuantile(50))
+	g.P90 = milliseconds(g.latencies.ValueAtQuantile(90))
+	g.P99 = milliseconds(g.latencies.ValueAtQuantile(99))
+	g.P999 = milliseconds(g.latencies.ValueAtQuantile(99.9))
+	g.Max = milliseconds(g.latencies.Max())
+	return *g
 }
 
-// Summarize sums up.
+// Summarize returns the measurements of the run.
 func (m *Meter) Summarize() Stats {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	f := Stats{Total: m.all.done(), Worst10s: 1, SendDelayP50: ms(m.late.ValueAtQuantile(50)), SendDelayP99: ms(m.late.ValueAtQuantile(99)),
-		UnsentOps: m.overload, TriesPerOp: float64(m.tries)}
-	for _, p := range m.cats {
-		f.Categories = append(f.Categories, p.done())
+	stats := Stats{
+		Total:        m.total.summarize(),
+		Worst10s:     1,
+		SendDelayP50: milliseconds(m.sendDelays.ValueAtQuantile(50)),
+		SendDelayP99: milliseconds(m.sendDelays.ValueAtQuantile(99)),
+		UnsentOps:    m.unsent,
+		TriesPerOp:   float64(m.tries),
 	}
-	for _, p := range m.tenants {
-		f.Tenants = append(f.Tenants, p.done())
+	for _, group := range m.categories {
+		stats.Categories = append(stats.Categories, group.summarize())
 	}
-	within := int64(0)
-	for _, b := range m.late.Distribution() {
-		if b.To <= 5000 {
-			within += b.Count
+	for _, group := range m.tenants {
+		stats.Tenants = append(stats.Tenants, group.summarize())
+	}
+	sentInTime := int64(0)
+	for _, bar := range m.sendDelays.Distribution() {
+		if bar.To <= inTimeSendDelay {
+			sentInTime += bar.Count
 		}
 	}
-	f.SentWithin5ms = float64(within) / float64(max(m.late.TotalCount(), 1))
+	stats.SentWithin5ms = float64(sentInTime) / float64(max(m.sendDelays.TotalCount(), 1))
 	ops, last := 0, min(int(m.exp.Length.D()/time.Second), len(m.seconds))
-	for i, s := range m.seconds {
-		ops += s.Ops
-		s.P50, s.P99 = ms(s.hist.ValueAtQuantile(50)), ms(s.hist.ValueAtQuantile(99))
-		if from := int(m.exp.Warm.D() / time.Second); i >= from && i+10 <= last {
-			asked, in := 0.0, 0.0
-			for _, t := range m.seconds[i : i+10] {
-				asked, in = asked+t.BenefitRequested, in+t.BenefitInTime
-			}
-			if share := in / max(asked, 1e-9); share < f.Worst10s {
-				f.Worst10s, f.Worst10sStart = share, i
+	for i, second := range m.seconds {
+		ops += second.Ops
+		second.P50 = milliseconds(second.latencies.ValueAtQuantile(50))
+		second.P99 = milliseconds(second.latencies.ValueAtQuantile(99))
+		if from := int(m.exp.Warm.D() / time.Second); i >= from && i+worstWindow <= last {
+			if service := serviceOf(m.seconds[i : i+worstWindow]); service < stats.Worst10s {
+				stats.Worst10s, stats.Worst10sStart = service, i
 			}
 		}
 	}
-	f.TriesPerOp /= float64(max(ops, 1))
-	f.Peers = m.peers.done()
-	if f.SettleSeconds = settled(m.ages[:], f.Peers); slices.ContainsFunc(m.ages[:], func(a Age) bool { return a.Tries > 0 }) {
-		for i := range m.ages {
-			m.ages[i].From = float64(i) * ageStep.Seconds()
-			f.RestartedByAge = append(f.RestartedByAge, m.ages[i].done())
+	stats.TriesPerOp /= float64(max(ops, 1))
+	stats.Peers = m.peers.summarize()
+	stats.SettleSeconds = settleSeconds(m.restartedAges[:], stats.Peers)
+	if slices.ContainsFunc(m.restartedAges[:], func(a AgeBucket) bool { return a.Tries > 0 }) {
+		for i := range m.restartedAges {
+			m.restartedAges[i].FromSeconds = float64(i) * ageBucketWidth.Seconds()
+			stats.RestartedByAge = append(stats.RestartedByAge, m.restartedAges[i].summarize())
 		}
 	}
-	f.RecoverySeconds = back(m.exp, m.seconds[:last])
-	f.Seconds = m.seconds
-	return f
+	stats.RecoverySeconds = recoverySeconds(m.exp, m.seconds[:last])
+	stats.Seconds = m.seconds
+	return stats
 }
 
-// back is how many seconds pass from the end of the last fault until service is within 2% of what it was before the
-// first, for two seconds on end, so that no lucky second counts; 0 with no fault or nothing before it, -1 if it
-// does not come back.
-func back(x *experiment.File, seconds []*Second) float64 {
-	share := func(of []*Second) float64 {
-		asked, in := 0.0, 0.0
-		for _, s := range of {
-			asked, in = asked+s.BenefitRequested, in+s.BenefitInTime
-		}
-		return in / max(asked, 1e-9)
+// serviceOf returns the service over several seconds.
+func serviceOf(seconds []*Second) float64 {
+	requested, inTime := 0.0, 0.0
+	for _, s := range seconds {
+		requested, inTime = requested+s.BenefitRequested, inTime+s.BenefitInTime
 	}
-	first, last := x.Length.D(), time.Duration(0)
-	for _, f := range x.Fault {
-		first, last = min(first, f.At.D()), max(last, f.At.D()+f.For.D())
+	return inTime / max(requested, minBenefit)
+}
+
+// recoverySeconds returns the time from the end of the last fault until service is within 2% of its level before the first
+// fault, for two seconds in a row. It returns 0 if there is no fault, or nothing measured before it, and -1 if service does
+// not recover.
+func recoverySeconds(exp *experiment.File, seconds []*Second) float64 {
+	firstFault, faultsEnd := exp.Length.D(), time.Duration(0)
+	for _, f := range exp.Fault {
+		firstFault, faultsEnd = min(firstFault, f.At.D()), max(faultsEnd, f.At.D()+f.For.D())
 	}
-	from, to := int(x.Warm.D()/time.Second), min(int(first/time.Second), len(seconds))
-	if len(x.Fault) == 0 || to <= from {
+	from, to := int(exp.Warm.D()/time.Second), min(int(firstFault/time.Second), len(seconds))
+	if len(exp.Fault) == 0 || to <= from {
 		return 0
 	}
-	before := share(seconds[from:to])
-	for i := int((last + time.Second - 1) / time.Second); i+2 <= len(seconds); i++ {
-		if share(seconds[i:i+2]) >= 0.98*before {
-			return max(float64(i)-last.Seconds(), 0)
+	before := serviceOf(seconds[from:to])
+	for i := int((faultsEnd + time.Second - 1) / time.Second); i+recoveryWindow <= len(seconds); i++ {
+		if serviceOf(seconds[i:i+recoveryWindow]) >= recoveredShare*before {
+			return max(float64(i)-faultsEnd.Seconds(), 0)
 		}
 	}
 	return -1
 }
 
-// RecentService is the service of the second before the last whole one, for progress.
+// RecentService returns the number of ops and the service of the second before the one at a time. It is used to show
+// progress.
 func (m *Meter) RecentService(at time.Duration) (ops int, service float64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	s := m.second(max(at-time.Second, 0))
-	return s.Ops, s.BenefitInTime / max(s.BenefitRequested, 1e-9)
+	return s.Ops, s.BenefitInTime / max(s.BenefitRequested, minBenefit)
 }
--- a/lab/report/plots.go
+++ b/lab/report/plots.go
@@ -10,17 +10,19 @@
 	"gonum.org/v1/plot"
 	"gonum.org/v1/plot/plotter"
 	"gonum.org/v1/plot/vg"
+	"gonum.org/v1/plot/vg/draw"
 	"gonum.org/v1/plot/vg/vgsvg"
 
 	"minttray/lab/measure"
 )
 
+// line is one line of a chart.
 type line struct {
-	name string
-	of   func(*measure.Second) float64
+	name  string
+	value func(*measure.Second) float64
 }
 
-// charts are the plots of a run, in the order of the page.
+// charts are the plots of a run, in the order of the HTML page. file is the name of the SVG file without its extension.
 var charts = []struct {
 	file, title, unit string
 	lines             []line
@@ -43,55 +45,72 @@
 		{"cores", func(s *measure.Second) float64 { return s.CPU }}}},
 }
 
-var colors = []color.Color{color.RGBA{0x1f, 0x4e, 0x9a, 0xff}, color.RGBA{0xc0, 0x5a, 0x1f, 0xff}, color.RGBA{0x3c, 0x8a, 0x3c, 0xff}}
+// lineColors are the colors of a chart's lines, in order.
+var lineColors = []color.Color{color.RGBA{0x1f, 0x4e, 0x9a, 0xff}, color.RGBA{0xc0, 0x5a, 0x1f, 0xff}, color.RGBA{0x3c, 0x8a, 0x3c, 0xff}}
 
-// plots draws all charts as SVG, with the faults marked.
+// eventColor is the color of the marks of events.
+var eventColor = color.Gray{0x88}
+
+// Sizes of charts.
+const (
+	chartWidth  = 18 * vg.Centimeter
+	chartHeight = 6 * vg.Centimeter
+	headroom    = 1.05 // height of the Y axis, as a multiple of the largest value
+	minYMax     = 1e-3 // smallest height of the Y axis
+)
+
+// plots draws all charts as SVG, by file name. Events are marked by dashed vertical lines.
 func (r *Result) plots() (map[string][]byte, error) {
-	out := map[string][]byte{}
+	files := map[string][]byte{}
 	seconds := r.Stats.Seconds[:min(len(r.Stats.Seconds), int(r.LengthSeconds))]
-	for _, c := range charts {
+	for _, chart := range charts {
 		p := plot.New()
-		p.Title.Text, p.X.Label.Text, p.Y.Label.Text = c.title, "s", c.unit
+		p.Title.Text = chart.title
+		p.X.Label.Text = "s"
+		p.Y.Label.Text = chart.unit
 		p.Y.Min = 0
-		top := 0.0
-		for i, l := range c.lines {
-			xys := make(plotter.XYs, len(seconds))
+		maxValue := 0.0
+		for i, l := range chart.lines {
+			points := make(plotter.XYs, len(seconds))
 			for n, s := range seconds {
-				xys[n] = plotter.XY{X: float64(n) + 0.5, Y: l.of(s)}
-				top = max(top, xys[n].Y)
+				points[n] = plotter.XY{X: float64(n) + 0.5, Y: l.value(s)}
+				maxValue = max(maxValue, points[n].Y)
 			}
-			drawn, err := plotter.NewLine(xys)
+			drawn, err := plotter.NewLine(points)
 			if err != nil {
 				return nil, err
 			}
-			drawn.Color, drawn.Width = colors[i%len(colors)], vg.Points(1.2)
+			drawn.Color = lineColors[i%len(lineColors)]
+			drawn.Width = vg.Points(1.2)
 			p.Add(drawn)
-			if len(c.lines) > 1 {
+			if len(chart.lines) > 1 {
 				p.Legend.Add(l.name, drawn)
 			}
 		}
-		p.Y.Max = max(top*1.05, 1e-3)
-		for _, e := range r.Events {
-			mark, err := plotter.NewLine(plotter.XYs{{X: e.At, Y: 0}, {X: e.At, Y: p.Y.Max}})
+		p.Y.Max = max(maxValue*headroom, minYMax)
+		for _, event := range r.Events {
+			mark, err := plotter.NewLine(plotter.XYs{{X: event.At, Y: 0}, {X: event.At, Y: p.Y.Max}})
 			if err != nil {
 				return nil, err
 			}
-			mark.Color, mark.Width, mark.Dashes = color.Gray{0x88}, vg.Points(0.6), []vg.Length{vg.Points(3), vg.Points(2)}
+			mark.Color = eventColor
+			mark.Width = vg.Points(0.6)
+			mark.Dashes = []vg.Length{vg.Points(3), vg.Points(2)}
 			p.Add(mark)
 		}
 		p.Legend.Top = true
-		canvas := vgsvg.New(18*vg.Centimeter, 6*vg.Centimeter)
-		p.Draw(plotDraw(canvas))
-		var b bytes.Buffer
-		if _, err := canvas.WriteTo(&b); err != nil {
+		canvas := vgsvg.New(chartWidth, chartHeight)
+		p.Draw(draw.New(canvas))
+		var svg bytes.Buffer
+		if _, err := canvas.WriteTo(&svg); err != nil {
 			return nil, err
 		}
-		out[c.file] = b.Bytes()
+		files[chart.file] = svg.Bytes()
 	}
-	return out, nil
+	return files, nil
 }
 
-// page is one self-contained page of HTML.
+// page formats the result as an HTML page with the charts embedded.
 func (r *Result) page(plots map[string][]byte) []byte {
 	var b strings.Builder
 	fmt.Fprintf(&b, "<!doctype html><html lang=en><meta charset=utf-8><title>%s</title><style>body{font:15px/1.5 sans-serif;max-width:62em;margin:2em auto;padding:0 1em}"+
@@ -99,14 +118,14 @@
 		html.EscapeString(r.Name), html.EscapeString(r.Name), html.EscapeString(r.About), html.EscapeString(r.Summary()))
 	if len(r.Events) > 0 {
 		b.WriteString("<h2>What was done, and when</h2><ul>")
-		for _, e := range r.Events {
-			fmt.Fprintf(&b, "<li>%.1f s: %s</li>", e.At, html.EscapeString(e.What))
+		for _, event := range r.Events {
+			fmt.Fprintf(&b, "<li>%.1f s: %s</li>", event.At, html.EscapeString(event.What))
 		}
 		b.WriteString("</ul>")
 	}
-	for _, c := range charts {
-		svg := plots[c.file]
-		if i := bytes.Index(svg, []byte("<svg")); i >= 0 {
+	for _, chart := range charts {
+		svg := plots[chart.file]
+		if i := bytes.Index(svg, []byte("<svg")); i >= 0 { // leaves out the XML declaration
 			b.Write(svg[i:])
 		}
 	}
--- a/lab/worth/worth.go
+++ b/lab/worth/worth.go
@@ -1,5 +1,6 @@
-// Package worth tells what each mechanism of the module earns: it takes one out by a patch, has a simulator score the
-// build, and puts the source back. It reads what the simulator prints, nothing else of it.
+// Package worth measures what each mechanism of the routing module contributes: an ablation study. It takes one mechanism
+// out by patching the source, has a simulator build and score the result, and restores the source. It depends on the
+// simulator's printed estimate only.
 package worth
 
 import (
@@ -18,25 +19,25 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Plan is a file of patches.
+// Plan is a file of ablations.
 type Plan struct {
-	Files   []string  `toml:"files"` // the sources that are patched, from the repository's root
-	Without []Without `toml:"without"`
+	Files     []string   `toml:"files"` // the source files that are patched, relative to the repository's root
+	Ablations []Ablation `toml:"without"`
 }
 
-// Without takes one mechanism out.
-type Without struct {
-	Name string `toml:"name"`
-	Edit []Edit `toml:"edit"`
+// Ablation takes one mechanism out.
+type Ablation struct {
+	Name  string `toml:"name"`
+	Edits []Edit `toml:"edit"`
 }
 
-// Edit puts one text in another's place; that has to stand in all sources exactly once.
+// Edit replaces one text by another. The text has to occur exactly once in all source files.
 type Edit struct {
-	Find string `toml:"find"`
-	Put  string `toml:"put"`
+	Find    string `toml:"find"`
+	Replace string `toml:"put"`
 }
 
-// ReadPlan decodes a plan strictly.
+// ReadPlan reads a plan. Unknown fields are errors.
 func ReadPlan(path string) (*Plan, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -46,29 +47,29 @@
 	if err := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields().Decode(p); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	if len(p.Files) == 0 || len(p.Without) == 0 {
-		return nil, fmt.Errorf("%s: files or without is missing", path)
+	if len(p.Files) == 0 || len(p.Ablations) == 0 {
+		return nil, fmt.Errorf("%s: files (%d given) and without (%d given) must not be empty", path, len(p.Files), len(p.Ablations))
 	}
 	return p, nil
 }
 
-// Sources are the texts of files, by their names.
+// Sources holds the texts of files, by file name.
 type Sources map[string]string
 
 // ReadSources reads files below a directory.
 func ReadSources(dir string, files []string) (Sources, error) {
-	all := Sources{}
+	sources := Sources{}
 	for _, name := range files {
 		text, err := os.ReadFile(filepath.Join(dir, name))
 		if err != nil {
 			return nil, err
 		}
-		all[name] = string(text)
+		sources[name] = string(text)
 	}
-	return all, nil
+	return sources, nil
 }
 
-// Write puts all texts into their files below a directory.
+// Write writes all texts into their files below a directory.
 func (s Sources) Write(dir string) (err error) {
 	for name, text := range s {
 		err = errors.Join(err, os.WriteFile(filepath.Join(dir, name), []byte(text), 0o644))
@@ -76,71 +77,74 @@
 	return err
 }
 
-// Apply gives the sources with the mechanism taken out.
-func (w Without) Apply(all Sources) (Sources, error) {
-	all = maps.Clone(all)
-	for i, e := range w.Edit {
-		n, in := 0, ""
-		for name, text := range all {
-			if found := strings.Count(text, e.Find); found > 0 {
-				n, in = n+found, name
+// Apply returns a copy of the sources with the mechanism taken out.
+func (a Ablation) Apply(sources Sources) (Sources, error) {
+	sources = maps.Clone(sources)
+	for i, edit := range a.Edits {
+		occurrences, file := 0, ""
+		for name, text := range sources {
+			if found := strings.Count(text, edit.Find); found > 0 {
+				occurrences, file = occurrences+found, name
 			}
 		}
-		if e.Find == "" || n != 1 {
-			return nil, fmt.Errorf("%s: edit %d: its text stands in the sources %d times, not once", w.Name, i+1, n)
+		if edit.Find == "" || occurrences != 1 {
+			return nil, fmt.Errorf("%s: edit %d: the sources contain its text %d times, expected once", a.Name, i+1, occurrences)
 		}
-		all[in] = strings.Replace(all[in], e.Find, e.Put, 1)
+		sources[file] = strings.Replace(sources[file], edit.Find, edit.Replace, 1)
 	}
-	return all, nil
+	return sources, nil
 }
 
-var estimate = regexp.MustCompile(`estimate on the standard days of \S+ \([^)]*\): (-?[0-9.]+)`)
+var estimatePattern = regexp.MustCompile(`estimate on the standard days of \S+ \([^)]*\): (-?[0-9.]+)`)
 
-// score plays one site file.
-func score(bench, site, why string) (float64, error) {
-	out, err := exec.Command(bench, "score", site, "--quick", "--why", why).CombinedOutput()
-	found := estimate.FindSubmatch(out)
+// maxErrorOutput is the number of bytes of the simulator's output that an error quotes.
+const maxErrorOutput = 400
+
+// score runs the simulator on a site file and returns its estimate. reason is passed on to the simulator.
+func score(simulator, site, reason string) (float64, error) {
+	out, err := exec.Command(simulator, "score", site, "--quick", "--why", reason).CombinedOutput()
+	found := estimatePattern.FindSubmatch(out)
 	if found == nil {
-		return 0, fmt.Errorf("%s: no estimate (%v): %s", site, err, out[:min(len(out), 400)])
+		return 0, fmt.Errorf("%s: simulator printed no estimate (%v): %s", site, err, out[:min(len(out), maxErrorOutput)])
 	}
 	return strconv.ParseFloat(string(found[1]), 64)
 }
 
-// Run scores the sources as they stand and then without each mechanism, a row each. The files are put back at the end,
-// and also when stop closes.
-func (p *Plan) Run(out io.Writer, bench string, sites []string, stop <-chan struct{}) (err error) {
-	kept, err := ReadSources("", p.Files)
+// Run scores the sources unchanged, and then without each mechanism, and prints a row of a Markdown table for each. The
+// source files are restored at the end, also if stop is closed or an error occurs.
+func (p *Plan) Run(out io.Writer, simulator string, sites []string, stop <-chan struct{}) (err error) {
+	original, err := ReadSources("", p.Files)
 	if err != nil {
 		return err
 	}
-	defer func() { err = errors.Join(err, kept.Write("")) }()
-	for _, w := range p.Without { // all are tried before the first is played
-		if _, err := w.Apply(kept); err != nil {
+	defer func() { err = errors.Join(err, original.Write("")) }()
+	for _, a := range p.Ablations { // find errors in the plan before the first of many long runs
+		if _, err := a.Apply(original); err != nil {
 			return err
 		}
 	}
 	fmt.Fprint(out, "| without |")
-	for _, s := range sites {
-		fmt.Fprintf(out, " %s |", strings.TrimSuffix(filepath.Base(s), ".toml"))
+	for _, site := range sites {
+		fmt.Fprintf(out, " %s |", strings.TrimSuffix(filepath.Base(site), ".toml"))
 	}
 	fmt.Fprintf(out, "\n| --- |%s\n", strings.Repeat(" --- |", len(sites)))
-	for _, w := range append([]Without{{Name: "nothing"}}, p.Without...) {
-		changed, _ := w.Apply(kept)
+	for _, a := range append([]Ablation{{Name: "nothing"}}, p.Ablations...) {
+		changed, _ := a.Apply(original)
 		if err := changed.Write(""); err != nil {
 			return err
 		}
-		fmt.Fprintf(out, "| %s |", w.Name)
-		for _, s := range sites {
+		fmt.Fprintf(out, "| %s |", a.Name)
+		for _, site := range sites {
 			select {
 			case <-stop:
 				return fmt.Errorf("stopped")
 			default:
 			}
-			figure, err := score(bench, s, "Worth of each mechanism: without "+w.Name)
+			estimate, err := score(simulator, site, "Worth of each mechanism: without "+a.Name)
 			if err != nil {
-				return fmt.Errorf("%s: %w", w.Name, err)
+				return fmt.Errorf("%s: %w", a.Name, err)
 			}
-			fmt.Fprintf(out, " %.3f |", figure)
+			fmt.Fprintf(out, " %.3f |", estimate)
 		}
 		fmt.Fprintln(out)
 	}
