--- a/internal/deadline/deadline_test.go
+++ b/internal/deadline/deadline_test.go
@@ -13,7 +13,7 @@
 	for name, c := range map[string]struct {
 		wait, waited, until time.Duration
 		how                 Transfer
-		milliseconds        int64 // 0: no attempt
+		milliseconds        int64 // 0: ErrNoTime is expected
 	}{
 		"at once":                    {480 * time.Millisecond, 0, never, SingleWrite, 450},
 		"later":                      {480 * time.Millisecond, 160 * time.Millisecond, never, SingleWrite, 300},
@@ -34,52 +34,52 @@
 			now := received.Add(c.waited)
 			passed, err := After(received, c.wait).ForAttempt(now, now.Add(c.until), c.how)
 			if c.milliseconds == 0 && !errors.Is(err, ErrNoTime) || c.milliseconds > 0 && err != nil || passed.milliseconds != c.milliseconds {
-				t.Errorf("%d ms, %v; %d ms wanted", passed.milliseconds, err, c.milliseconds)
+				t.Errorf("got %d ms, error %v; want %d ms", passed.milliseconds, err, c.milliseconds)
 			}
 		})
 	}
 }
 
-// Whatever is drawn: what is passed is at least a millisecond, never more than is left up to WriteBy, and no less than what is left or waited
-// for, less the margin and the rounding.
+// Guards against a server being given more time than its client waits. For any input, the deadline sent is at least a millisecond, never
+// exceeds the time remaining at WriteBy, and is lower than the allowed maximum by less than the rounding to milliseconds.
 func TestPassedIsWithinWhatIsLeft(t *testing.T) {
 	start := time.Now()
 	rapid.Check(t, func(t *rapid.T) {
-		span := func(name string, most time.Duration) time.Duration {
-			return time.Duration(rapid.Int64Range(0, int64(most)).Draw(t, name))
+		duration := func(name string, limit time.Duration) time.Duration {
+			return time.Duration(rapid.Int64Range(0, int64(limit)).Draw(t, name))
 		}
-		wait, waited, until := span("wait", time.Hour), span("waited", time.Minute), span("until", time.Minute)
-		how := rapid.SampledFrom([]Transfer{SingleWrite, MultipleWrites}).Draw(t, "how")
+		wait, waited, until := duration("wait", time.Hour), duration("waited", time.Minute), duration("until", time.Minute)
+		transfer := rapid.SampledFrom([]Transfer{SingleWrite, MultipleWrites}).Draw(t, "how")
 		d, now := After(start, wait), start.Add(waited)
-		passed, err := d.ForAttempt(now, now.Add(until), how)
-		left := d.Remaining(now)
-		share := map[Transfer]time.Duration{SingleWrite: heldMargin, MultipleWrites: partsMargin}[how]
-		most := min(left-left/share, until)
+		passed, err := d.ForAttempt(now, now.Add(until), transfer)
+		remaining := d.Remaining(now)
+		divisor := map[Transfer]time.Duration{SingleWrite: singleWriteMargin, MultipleWrites: multipleWriteMargin}[transfer]
+		maxSent := min(remaining-remaining/divisor, until)
 		if err != nil {
-			if most >= least {
-				t.Fatalf("%v, though %v could be passed", err, most)
+			if maxSent >= minDeadline {
+				t.Fatalf("error %v, though %v could be sent", err, maxSent)
 			}
 			return
 		}
-		told := time.Duration(passed.milliseconds) * time.Millisecond
-		if told < least || told > most || told <= most-time.Millisecond {
-			t.Fatalf("%v is passed, %v could be", told, most)
+		sent := time.Duration(passed.milliseconds) * time.Millisecond
+		if sent < minDeadline || sent > maxSent || sent <= maxSent-time.Millisecond {
+			t.Fatalf("sent %v, allowed maximum %v", sent, maxSent)
 		}
-		if by := passed.WriteBy(); told > d.Remaining(by) || by.Before(now) {
-			t.Fatalf("%v is passed up to %v from now, %v are left then", told, by.Sub(now), d.Remaining(by))
+		if by := passed.WriteBy(); sent > d.Remaining(by) || by.Before(now) {
+			t.Fatalf("sent %v until %v from now, when only %v remain", sent, by.Sub(now), d.Remaining(by))
 		}
 	})
 }
 
-// A deadline can only be lowered.
+// A deadline must never be extended after it was set.
 func TestAtMostOnlyLowers(t *testing.T) {
 	now := time.Now()
 	d := After(now, time.Second)
-	if left := d.AtMost(now.Add(2 * time.Second)).Remaining(now); left != time.Second {
-		t.Errorf("%v left", left)
+	if remaining := d.AtMost(now.Add(2 * time.Second)).Remaining(now); remaining != time.Second {
+		t.Errorf("%v remaining", remaining)
 	}
-	if left := d.AtMost(now.Add(time.Millisecond)).Remaining(now); left != time.Millisecond {
-		t.Errorf("%v left", left)
+	if remaining := d.AtMost(now.Add(time.Millisecond)).Remaining(now); remaining != time.Millisecond {
+		t.Errorf("%v remaining", remaining)
 	}
 }
 
--- a/internal/engine/deadline_test.go
+++ b/internal/engine/deadline_test.go
@@ -9,22 +9,22 @@
 	"minttray/policy"
 )
 
-// passing is a server that hands each attempt's request to the test.
-type passing struct{ requests chan *Request }
+// requestCapture is a server that passes each push's request to the test.
+type requestCapture struct{ requests chan *Request }
 
-func (p passing) Push(r *Request, _ time.Time, _ func(Result)) func(AbortCondition) bool {
+func (p requestCapture) Push(r *Request, _ time.Time, _ func(Result)) func(AbortCondition) bool {
 	p.requests <- r
 	return func(AbortCondition) bool { return true }
 }
-func (passing) Release() {}
-func (passing) Retire()  {}
+func (requestCapture) Release() {}
+func (requestCapture) Retire()  {}
 
-// What an attempt may pass is bounded by the TTL of the request's category as well, by the settings as it came.
+// Guards against a push with a deadline beyond its category's TTL, under the settings in force when the op arrived.
 func TestADeadlineIsNoLaterThanTheCategorysTTL(t *testing.T) {
 	const ttl = 2 * time.Second
-	servers := passing{make(chan *Request, 9)}
-	e, s := play(t, func(o *Options) {
-		o.Settings.Categories[0].TTL = policy.Time(ttl / unit)
+	servers := requestCapture{make(chan *Request, 9)}
+	e, s := startEngine(t, func(o *Options) {
+		o.Settings.Categories[0].TTL = policy.Time(ttl / timeUnit)
 		o.Connect = func(Member) Server { return servers }
 	})
 	for id, c := range map[string]struct{ wait, want time.Duration }{"longer": {time.Minute, ttl}, "shorter": {time.Second, time.Second}} {
@@ -35,17 +35,17 @@
 		}
 		r := <-servers.requests
 		if left := r.Deadline.Remaining(o.ReceivedAt); r.ID != id || left != c.want {
-			t.Errorf("%s has %v, %v wanted", r.ID, left, c.want)
+			t.Errorf("op %s: deadline is %v after receipt, want %v", r.ID, left, c.want)
 		}
 	}
 }
 
-// An engine with nothing to do beats: else each of its rests would look like a stall of the process.
+// Guards against an idle engine being taken for a stalled process: it must beat while it has nothing to do.
 func TestAnEngineThatRestsBeats(t *testing.T) {
 	const rest = 500 * time.Millisecond
 	beat := pulse.New(time.Now())
-	play(t, func(o *Options) { o.StallMonitor, o.Settings.Tick = beat, policy.Time(time.Hour/unit) })
-	time.Sleep(rest) // and what may have stalled ahead of the first beat is over
+	startEngine(t, func(o *Options) { o.StallMonitor, o.Settings.Tick = beat, policy.Time(time.Hour/timeUnit) })
+	time.Sleep(rest) // a stall before the first beat is over by now
 	beats := 0
 	for begun := time.Now(); time.Since(begun) < rest; time.Sleep(time.Millisecond) {
 		if now := time.Now(); beat.EarliestArrival(now).Equal(now) {
@@ -53,6 +53,6 @@
 		}
 	}
 	if beats == 0 {
-		t.Error("it rested, and that was taken for a stall throughout")
+		t.Error("the idle engine was taken for stalled throughout")
 	}
 }
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -17,195 +17,195 @@
 )
 
 const (
-	unit    = 100 * time.Microsecond // of policy.Time
-	overdue = 200                    // policy.Time after an op's TTL at which the engine ends it by itself
+	timeUnit     = 100 * time.Microsecond // duration of one unit of policy.Time
+	overdueGrace = 200                    // time after an op's TTL at which the engine itself ends the op, in policy.Time
 
-	longestProbe = 2500 // policy.Time for which a probe's answer is waited for
+	probeTimeout = 2500 // how long a probe's answer is awaited, in policy.Time
 )
 
-// Options is what an engine is made of.
+// Options configures an engine.
 type Options struct {
-	Module       func(s policy.Settings, seed uint64, h policy.Host) Module // makes what decides
+	Module       func(s policy.Settings, seed uint64, h policy.Host) Module // creates the decision module
 	Settings     policy.Settings
 	Seed         uint64
 	Connect      func(m Member) Server
 	Logger       zerolog.Logger
-	MaxOps       int            // held at once, at first
-	MaxBytes     int64          // of requests held at once
-	StallMonitor *pulse.Monitor // the engine's goroutine feeds it; nil: nobody asks
+	MaxOps       int            // initial limit of ops open at once
+	MaxBytes     int64          // limit of the total size of open requests
+	StallMonitor *pulse.Monitor // receives beats from the engine's goroutine; may be nil
 
-	// What another process hands over, by the caches' names.
-	CachesOut  []string             // out by an operator's word
-	ReturnedAt map[string]time.Time // were so until then, and have been cold since
-	Memory     *warm.LearnedState         // what was learned; nil: nothing
+	// State handed over by another process, by cache name.
+	CachesOut  []string             // caches an operator took out of service
+	ReturnedAt map[string]time.Time // caches that were out until then and have been cold since
+	Memory     *warm.LearnedState   // learned state; nil: none
 
-	Sites map[int]SiteOverride // what operators said of whole zones
+	Sites map[int]SiteOverride // operators' overrides by zone
 }
 
-// Engine is the module's host. All fields below the queue belong to its goroutine.
+// Engine hosts the decision module. The fields from module on belong to the engine's goroutine.
 type Engine struct {
 	Options
-	Counters   Counters
-	queue      queue
-	maxOps     atomic.Int64
-	ops        atomic.Int64 // held, from Submit to the last push's end
-	bytes      atomic.Int64
-	ids        *ids
-	ending     atomic.Bool // all is handed back, and nothing is taken
-	unanswered openOps
-	oldest     atomic.Int64 // since when the event in hand has waited, in nanoseconds since origin; 0: none is
-	behind     *behind
-
-	module  Module
-	catalog Catalog
-	origin  time.Time   // of the monotonic clock
-	offset  policy.Time // origin, since 1970
-	now     policy.Time // stands still while one event is handled
-	timers  timers
-	later   []func() // what a host call brought about at once: told after the module has returned
-	held    map[uint32]*op
-	lastID  uint32
-	servers map[uint32]*server
-	out     map[string]bool // caches out by an operator's word
-	back    map[string]policy.Time
-	sites   map[int]site.Rollout[policy.Time] // operators' words on whole zones
-	turning bool                           // some caches have their turn ahead of them
-	left    map[string]policy.Time         // caches that have gone, while the list does not name them: when they had started
+	Counters     Counters
+	queue        queue
+	maxOps       atomic.Int64
+	opCount      atomic.Int64 // open ops, from Submit to the end of the last push
+	byteCount    atomic.Int64
+	ids          *recentIDs
+	shuttingDown atomic.Bool // set by AnswerAllOpen: no further ops are accepted
+	unanswered   unansweredOps
+	oldestEvent  atomic.Int64 // when the current event was queued, in nanoseconds since clockStart; 0: none is being handled
+	lagResponder *lagResponder
+
+	module        Module
+	catalog       Catalog
+	clockStart    time.Time   // start of the monotonic clock
+	clockOffset   policy.Time // clockStart as time since 1970
+	now           policy.Time // constant while one event is handled
+	timers        timers
+	deferred      []func() // consequences of host calls, run after the module has returned
+	records       map[uint32]*opRecord
+	lastID        uint32
+	servers       map[uint32]*server
+	cachesOut     map[string]bool // caches an operator took out of service
+	returnedAt    map[string]policy.Time
+	siteSchedules map[int]site.Rollout[policy.Time] // operators' overrides of whole zones
+	siteTimerSet  bool                              // the timer for caches that still have to follow a site override is set
+	departed      map[string]policy.Time            // start times of caches that left the list
 }
 
 type server struct {
 	Server
-	member  Member
-	start   policy.Time
-	probing bool   // a probe is out
-	unprobe func() // takes that back, unless it is written
+	member      Member
+	start       policy.Time
+	probing     bool   // a probe is in flight
+	cancelProbe func() // aborts the probe if it is not written yet
 }
 
-// takeBack takes a probe back that is not written yet.
-func (s *server) takeBack() {
-	if s.unprobe != nil {
-		s.unprobe()
+// abortUnwrittenProbe aborts a probe that is not written yet.
+func (s *server) abortUnwrittenProbe() {
+	if s.cancelProbe != nil {
+		s.cancelProbe()
 	}
 }
 
-type op struct {
+type opRecord struct {
 	*Op
-	id   uint32
-	ttl  policy.Time
-	n    int // pushes so far
-	most int // that it may have
-	out  []*push
+	id         uint32
+	ttl        policy.Time
+	pushCount  int // pushes so far
+	maxPushes  int // limit of pushes
+	openPushes []*push
 
-	effect policy.Effect
-	window policy.Time // for which a repeat is dropped; 0: the op is not deduplicated
-	ran    policy.Time // the first push that may have run; 0: none
-	over   bool        // answered, or its client has left
-	size   int64
+	effect      policy.Effect
+	dedupWindow policy.Time // time within which caches drop a repeat; 0: the op is not deduplicated
+	firstRunAt  policy.Time // time of the first push that may have run; 0: none
+	ended       bool        // answered, or its client has left
+	size        int64
 }
 
 type push struct {
-	n      int
-	to     uint32
-	at     policy.Time
-	giveUp func(AbortCondition) bool
+	number int
+	cache  uint32
+	sentAt policy.Time
+	abort  func(AbortCondition) bool
 }
 
-// New makes an engine; Run starts it.
+// New creates an engine; Run starts it.
 func New(o Options) *Engine {
-	e := &Engine{Options: o, held: map[uint32]*op{}, servers: map[uint32]*server{}, out: map[string]bool{}, back: map[string]policy.Time{},
-		left: map[string]policy.Time{}, origin: time.Now()}
+	e := &Engine{Options: o, records: map[uint32]*opRecord{}, servers: map[uint32]*server{}, cachesOut: map[string]bool{}, returnedAt: map[string]policy.Time{},
+		departed: map[string]policy.Time{}, clockStart: time.Now()}
 	for _, name := range o.CachesOut {
-		e.out[name] = true
+		e.cachesOut[name] = true
 	}
-	e.behind = newBehind(e)
-	e.sites = e.hands(o.Sites)
+	e.lagResponder = newLagResponder(e)
+	e.siteSchedules = e.siteSchedulesOf(o.Sites)
 	e.maxOps.Store(int64(o.MaxOps))
 	e.queue.wake = make(chan struct{}, 1)
-	e.ids = newIDs(longest(o.Settings))
-	// The clock counts from 1970, so that a cache's start needs no shift; it is read once and then only runs on
-	// monotonically, whatever is done to the machine's clock.
-	e.offset = policy.Time(e.origin.UnixNano() / int64(unit))
-	e.now = e.offset
-	for name, at := range o.ReturnedAt {
-		e.back[name] = e.offset + policy.Time(at.Sub(e.origin)/unit)
+	e.ids = newRecentIDs(maxOpDuration(o.Settings))
+	// The clock counts from 1970, like the caches' start times. The wall clock is read once; from then on the clock is monotonic, so
+	// changes of the machine's clock have no effect.
+	e.clockOffset = policy.Time(e.clockStart.UnixNano() / int64(timeUnit))
+	e.now = e.clockOffset
+	for name, returned := range o.ReturnedAt {
+		e.returnedAt[name] = e.clockOffset + policy.Time(returned.Sub(e.clockStart)/timeUnit)
 	}
 	return e
 }
 
-// longest is how long an op may be open.
-func longest(s policy.Settings) time.Duration {
-	longest := policy.Time(time.Second / unit)
+// maxOpDuration returns how long an op may stay open.
+func maxOpDuration(s policy.Settings) time.Duration {
+	maxTTL := policy.Time(time.Second / timeUnit)
 	for _, c := range s.Categories {
-		longest = max(longest, c.TTL)
+		maxTTL = max(maxTTL, c.TTL)
 	}
-	return time.Duration(longest+overdue) * unit
+	return time.Duration(maxTTL+overdueGrace) * timeUnit
 }
 
-// Start makes the module and tells it the list as last had. It comes before Run and before the first op.
+// Start creates the module and passes it the cached list. It must be called before Run and before the first Submit.
 func (e *Engine) Start(catalog Catalog, known []Member) {
 	e.catalog = catalog
 	e.module = e.Options.Module(e.Settings, e.Seed, e)
 	if e.Memory != nil {
-		// Danger: the list as last had may be older than what was known at the last end, and name a cache in use that drains.
-		// Its next word on that counts again.
+		// The cached list may be older than the snapshot and show a cache as ready that was draining when the process ended. The next
+		// list from discovery takes precedence again.
 		for i, m := range known {
-			if start, ok := e.Memory.Departed[m.Name]; ok && int64(m.Start) <= start && m.State == policy.Ready {
+			if departedAt, ok := e.Memory.Departed[m.Name]; ok && int64(m.Start) <= departedAt && m.State == policy.Ready {
 				known[i].State = policy.Draining
 			}
 		}
 	}
-	e.list(policy.ListCached, known)
-	e.settle()
+	e.applyList(policy.ListCached, known)
+	e.runDeferred()
 }
 
-// Run serves until stop is closed.
+// Run handles events until stop is closed.
 func (e *Engine) Run(stop <-chan struct{}) {
-	clock := time.NewTimer(time.Hour)
-	defer clock.Stop()
-	defer e.behind.stop()
+	wakeup := time.NewTimer(time.Hour)
+	defer wakeup.Stop()
+	defer e.lagResponder.stop()
 	var events []event
 	for {
-		if wait, bounded := e.nextTimer(); bounded {
-			clock.Reset(wait)
+		if wait, bounded := e.nextWakeup(); bounded {
+			wakeup.Reset(wait)
 		}
 		select {
 		case <-stop:
 			return
 		case <-e.queue.wake:
-		case <-clock.C:
+		case <-wakeup.C:
 		}
 		events = e.queue.take(events)
-		e.Counters.Longest = max(e.Counters.Longest, len(events))
-		e.row(events)
+		e.Counters.MaxQueueLength = max(e.Counters.MaxQueueLength, len(events))
+		e.handleBatch(events)
 	}
 }
 
-// row handles a row of events, and the timers that are due between them.
-func (e *Engine) row(events []event) {
-	from := time.Now()
-	e.behind.begin(from)
-	defer e.behind.end()
+// handleBatch handles a batch of events and the timers that become due between them.
+func (e *Engine) handleBatch(events []event) {
+	start := time.Now()
+	e.lagResponder.begin(start)
+	defer e.lagResponder.end()
 	for i, ev := range events {
-		e.handling(ev.at)
-		e.first()
-		e.Counters.Delay = max(e.Counters.Delay, time.Since(ev.at))
-		e.handle(ev.kind, ev.do)
+		e.setOldestEvent(ev.queuedAt)
+		e.runCalls()
+		e.Counters.MaxQueueDelay = max(e.Counters.MaxQueueDelay, time.Since(ev.queuedAt))
+		e.handleEvent(ev.kind, ev.run)
 		events[i] = event{}
-		e.fire()
+		e.fireTimers()
 	}
-	e.handling(time.Now())
-	e.first()
-	e.fire()
-	e.Counters.Stall = max(e.Counters.Stall, time.Since(from))
+	e.setOldestEvent(time.Now())
+	e.runCalls()
+	e.fireTimers()
+	e.Counters.MaxBatchDuration = max(e.Counters.MaxBatchDuration, time.Since(start))
 }
 
-// nextTimer is how long the engine may wait for events: up to its next timer, and its next beat.
-func (e *Engine) nextTimer() (wait time.Duration, bounded bool) {
+// nextWakeup returns how long the engine may wait for events: until its next timer or its next beat.
+func (e *Engine) nextWakeup() (wait time.Duration, bounded bool) {
 	if e.StallMonitor != nil {
 		wait, bounded = pulse.BeatInterval, true
 	}
 	if len(e.timers.heap) > 0 {
-		due := max(time.Until(e.wall(e.timers.heap[0].at)), 0)
+		due := max(time.Until(e.wallTime(e.timers.heap[0].dueAt)), 0)
 		if !bounded || due < wait {
 			wait, bounded = due, true
 		}
@@ -213,43 +213,45 @@
 	return wait, bounded
 }
 
-func (e *Engine) fire() {
-	for do := e.timers.due(e.read()); do != nil; do = e.timers.due(e.now) {
-		e.handle(timerEvent, do)
+func (e *Engine) fireTimers() {
+	for callback := e.timers.popDue(e.readClock()); callback != nil; callback = e.timers.popDue(e.now) {
+		e.handleEvent(timerEvent, callback)
 	}
 }
 
-func (e *Engine) read() policy.Time {
+func (e *Engine) readClock() policy.Time {
 	now := time.Now()
 	e.StallMonitor.Beat(now)
-	e.now = e.offset + policy.Time(now.Sub(e.origin)/unit)
+	e.now = e.clockOffset + policy.Time(now.Sub(e.clockStart)/timeUnit)
 	return e.now
 }
 
-// wall is the first moment at which the clock shows t.
-func (e *Engine) wall(t policy.Time) time.Time { return e.origin.Add(time.Duration(t-e.offset) * unit) }
+// wallTime returns the first moment at which the engine's clock shows t.
+func (e *Engine) wallTime(t policy.Time) time.Time {
+	return e.clockStart.Add(time.Duration(t-e.clockOffset) * timeUnit)
+}
 
-func (e *Engine) handle(kind eventKind, do func()) {
-	from := e.origin.Add(time.Duration(e.read()-e.offset) * unit)
-	do()
-	e.settle()
-	if took := time.Since(from); took > e.Counters.LongestEvent {
-		e.Counters.LongestEvent, e.Counters.LongestKind = took, kind
+func (e *Engine) handleEvent(kind eventKind, run func()) {
+	start := e.clockStart.Add(time.Duration(e.readClock()-e.clockOffset) * timeUnit)
+	run()
+	e.runDeferred()
+	if took := time.Since(start); took > e.Counters.MaxEventDuration {
+		e.Counters.MaxEventDuration, e.Counters.MaxEventKind = took, kind
 	}
 }
 
-func (e *Engine) settle() {
-	for i := 0; i < len(e.later); i++ {
-		e.later[i]()
+func (e *Engine) runDeferred() {
+	for i := 0; i < len(e.deferred); i++ {
+		e.deferred[i]()
 	}
-	clear(e.later)
-	e.later = e.later[:0]
+	clear(e.deferred)
+	e.deferred = e.deferred[:0]
 }
 
-// first runs what operators ask for: ahead of every other event, as its answer is owed under any load.
-func (e *Engine) first() {
-	for _, do := range e.queue.takeFirst() {
-		e.handle(callEvent, do)
+// runCalls runs operators' calls. They precede all other events, as they must be answered under any load.
+func (e *Engine) runCalls() {
+	for _, call := range e.queue.takeCalls() {
+		e.handleEvent(callEvent, call)
 	}
 }
 
@@ -261,298 +263,297 @@
 	})
 }
 
-// Submit hands an op in. With an error the op was not taken, and the front turns it away.
+// Submit passes an op to the engine. If it returns an error, the op was not accepted and the front rejects it.
 func (e *Engine) Submit(o *Op) error {
 	size := int64(len(o.Request.Value) + o.Request.Properties.Size() + len(o.Request.Key) + len(o.Request.ID))
-	ops, bytes := e.ops.Add(1), e.bytes.Add(size)
-	if ops > e.maxOps.Load() || bytes > e.MaxBytes || e.ending.Load() {
-		e.ops.Add(-1)
-		e.bytes.Add(-size)
+	ops, bytes := e.opCount.Add(1), e.byteCount.Add(size)
+	if ops > e.maxOps.Load() || bytes > e.MaxBytes || e.shuttingDown.Load() {
+		e.opCount.Add(-1)
+		e.byteCount.Add(-size)
 		return ErrFull
 	}
 	if now := time.Now(); overload.ShouldReject(overload.Time(e.lag(now)), overload.Time(o.Request.Deadline.Remaining(now))) {
-		e.ops.Add(-1)
-		e.bytes.Add(-size)
-		e.behind.TurnedAway.Add(1)
+		e.opCount.Add(-1)
+		e.byteCount.Add(-size)
+		e.lagResponder.TurnedAway.Add(1)
 		return ErrOverloaded
 	}
 	if !e.ids.add(o.Request.ID, o.ReceivedAt) {
-		e.ops.Add(-1)
-		e.bytes.Add(-size)
+		e.opCount.Add(-1)
+		e.byteCount.Add(-size)
 		return ErrDuplicateID
 	}
-	o.wait = o.Request.Deadline.Remaining(o.ReceivedAt)
-	o.mark(&o.Trace.Submitted, time.Now())
+	o.clientWait = o.Request.Deadline.Remaining(o.ReceivedAt)
+	o.markTime(&o.Trace.Submitted, time.Now())
 	e.unanswered.add(o)
-	e.queue.put(requestEvent, func() { e.arrived(o, size) })
+	e.queue.put(requestEvent, func() { e.opArrived(o, size) })
 	return nil
 }
 
-// Leave tells that an op's client has gone away. It may come ahead of the op's own Submit.
+// Abandon tells the engine that an op's client has left. It may be called before the op's Submit.
 func (e *Engine) Abandon(o *Op) {
 	o.Request.Abandon()
 	e.queue.put(leaveEvent, func() {
 		e.unanswered.remove(o)
-		if h := o.held; h != nil && !h.over {
-			e.Counters.Left++
-			e.end(h)
-			e.module.ClientLeft(h.id)
-			e.forget(h)
+		if record := o.record; record != nil && !record.ended {
+			e.Counters.ClientsLeft++
+			e.endOp(record)
+			e.module.ClientLeft(record.id)
+			e.releaseOp(record)
 		}
 	})
 }
 
-func (e *Engine) arrived(o *Op, size int64) {
-	o.mark(&o.Trace.Arrived, time.Now())
-	if o.Request.Abandoned() { // before the engine came to it: there is nobody to answer, or it has its answer; nothing has begun
+func (e *Engine) opArrived(o *Op, size int64) {
+	o.markTime(&o.Trace.Arrived, time.Now())
+	if o.Request.Abandoned() { // before the engine saw the op: its client has left, or the lag responder has answered; no push has begun
 		e.Counters.Taken++
 		if progress(o.progress.Load()) != opAnswered {
-			e.Counters.Left++
+			e.Counters.ClientsLeft++
 		}
 		e.unanswered.remove(o)
 		if o.OnRelease != nil {
 			o.OnRelease()
 		}
-		e.ops.Add(-1)
-		e.bytes.Add(-size)
+		e.opCount.Add(-1)
+		e.byteCount.Add(-size)
 		return
 	}
 	c := e.Settings.Categories[o.Category]
-	if c.TTL > 0 { // No client waits longer than that, whatever it says; else a slip there would hold memory.
-		o.Request.Deadline = o.Request.Deadline.AtMost(o.ReceivedAt.Add(time.Duration(c.TTL) * unit))
+	if c.TTL > 0 { // The TTL bounds any client's wait: a wrong value from a client would otherwise hold memory.
+		o.Request.Deadline = o.Request.Deadline.AtMost(o.ReceivedAt.Add(time.Duration(c.TTL) * timeUnit))
 	}
-	ttl := e.offset + policy.Time(o.Request.Deadline.Remaining(e.origin)/unit)
-	h := &op{Op: o, ttl: ttl, size: size, most: e.Settings.MostPushes}
-	if h.effect = c.Effect; h.effect == policy.Deduplicated {
-		h.window = c.Window
+	ttl := e.clockOffset + policy.Time(o.Request.Deadline.Remaining(e.clockStart)/timeUnit)
+	record := &opRecord{Op: o, ttl: ttl, size: size, maxPushes: e.Settings.MostPushes}
+	if record.effect = c.Effect; record.effect == policy.Deduplicated {
+		record.dedupWindow = c.Window
 	}
 	for {
 		e.lastID++
-		if e.held[e.lastID] == nil && e.lastID != 0 {
+		if e.records[e.lastID] == nil && e.lastID != 0 {
 			break
 		}
 	}
-	h.id = e.lastID
-	e.held[h.id], o.held = h, h
+	record.id = e.lastID
+	e.records[record.id], o.record = record, record
 	e.Counters.Taken++
-	e.timers.set(h.ttl+overdue, func() { e.expire(h) })
-	e.module.OpArrived(h.id, o.Key, o.Category, o.Tenant, o.Request.Write, o.IsRetry, max(h.ttl-e.now, 0))
-	if e.ending.Load() { // it was handed in just before
-		e.module.HandBack(h.id)
+	e.timers.set(record.ttl+overdueGrace, func() { e.expire(record) })
+	e.module.OpArrived(record.id, o.Key, o.Category, o.Tenant, o.Request.Write, o.IsRetry, max(record.ttl-e.now, 0))
+	if e.shuttingDown.Load() { // it was submitted just before
+		e.module.HandBack(record.id)
 	}
-	e.forget(h)
+	e.releaseOp(record)
 }
 
-// expire is the last net under rule 1: the module answers by the TTL at the latest, and this is never reached
-// while it does.
-func (e *Engine) expire(h *op) {
-	if h.over {
+// expire ends an op that the module has not answered by its TTL. It is a safeguard: the module answers every op by its TTL at the latest.
+func (e *Engine) expire(record *opRecord) {
+	if record.ended {
 		return
 	}
-	e.Counters.Overdue++
-	e.Logger.Error().Str("op", h.Request.ID).Msg("op not answered by its TTL")
-	e.end(h)
-	if e.answers(h) {
-		h.Reply.DeadLettered()
+	e.Counters.OverdueOps++
+	e.Logger.Error().Str("op", record.Request.ID).Msg("op not answered by its TTL")
+	e.endOp(record)
+	if e.claimAnswer(record) {
+		record.Reply.DeadLettered()
 	}
-	e.module.ClientLeft(h.id)
-	e.forget(h)
+	e.module.ClientLeft(record.id)
+	e.releaseOp(record)
 }
 
-// answers takes the right to answer an op on the engine's goroutine; false: it was answered as that was behind.
-func (e *Engine) answers(h *op) bool {
-	if _, ok := h.claim(); !ok {
+// claimAnswer acquires the right to answer an op on the engine's goroutine. It returns false if the lag responder has answered it.
+func (e *Engine) claimAnswer(record *opRecord) bool {
+	if _, ok := record.claim(); !ok {
 		return false
 	}
-	e.answered(h.Op, false)
+	e.noteAnswered(record.Op, false)
 	return true
 }
 
-// end marks an op as over: the one place through which each op goes once. Danger: a push that still dials, or waits for
-// another connection, or lies in our system's buffer for a server that hangs, would come after the op's answer or its
-// client's leaving. To take it back is no cancelling: no server has all of it.
-func (e *Engine) end(h *op) {
-	h.over = true
-	for _, p := range h.out {
-		if p.giveUp(IfUnwritten) {
-			e.later = append(e.later, func() { e.withdrawn(h, p) })
-		} else if p.giveUp(IfUnsent) {
-			e.later = append(e.later, func() { e.ended(h, p, Result{Outcome: policy.Cancelled}) })
+// endOp marks an op as ended; every op passes through it exactly once. It aborts pushes that no server has fully received: a push that is
+// still dialing, waiting for a connection, or in the kernel's send buffer for a server that hangs would otherwise arrive after the op's
+// answer or its client's leaving. This applies whether or not servers support cancelling.
+func (e *Engine) endOp(record *opRecord) {
+	record.ended = true
+	for _, p := range record.openPushes {
+		if p.abort(IfUnwritten) {
+			e.deferred = append(e.deferred, func() { e.pushWithdrawn(record, p) })
+		} else if p.abort(IfUnsent) {
+			e.deferred = append(e.deferred, func() { e.pushEnded(record, p, Result{Outcome: policy.Cancelled}) })
 		}
 	}
 }
 
-// withdrawn tells of a push that was taken back before a byte of it was written.
-func (e *Engine) withdrawn(h *op, p *push) {
-	if slices.Contains(h.out, p) {
+// pushWithdrawn handles a push that was aborted before a byte of it was written.
+func (e *Engine) pushWithdrawn(record *opRecord, p *push) {
+	if slices.Contains(record.openPushes, p) {
 		e.Counters.Withdrawn++
-		e.ended(h, p, Result{Outcome: policy.NotSent})
+		e.pushEnded(record, p, Result{Outcome: policy.NotSent})
 	}
 }
 
-// withdraw takes back all pushes to some caches that are not written yet. The module knows by then that nothing goes there.
-func (e *Engine) withdraw(caches map[uint32]bool) {
+// withdrawPushes aborts all unwritten pushes to some caches. The module must already know that these caches get no more pushes.
+func (e *Engine) withdrawPushes(caches map[uint32]bool) {
 	if len(caches) == 0 {
 		return
 	}
-	for _, id := range slices.Sorted(maps.Keys(e.held)) { // the module is told in the same order each time
-		h := e.held[id]
-		if h == nil {
+	for _, id := range slices.Sorted(maps.Keys(e.records)) { // sorted, so that the module sees a deterministic order
+		record := e.records[id]
+		if record == nil {
 			continue
 		}
-		for _, p := range slices.Clone(h.out) {
-			if caches[p.to] && p.giveUp(IfUnwritten) {
-				e.withdrawn(h, p)
+		for _, p := range slices.Clone(record.openPushes) {
+			if caches[p.cache] && p.abort(IfUnwritten) {
+				e.pushWithdrawn(record, p)
 			}
 		}
 	}
 }
 
-// forget lets go of an op that is over and has nothing out.
-func (e *Engine) forget(h *op) {
-	if h.over && len(h.out) == 0 && e.held[h.id] == h {
-		delete(e.held, h.id)
-		if h.OnRelease != nil {
-			h.OnRelease()
+// releaseOp drops an op that has ended and has no open pushes.
+func (e *Engine) releaseOp(record *opRecord) {
+	if record.ended && len(record.openPushes) == 0 && e.records[record.id] == record {
+		delete(e.records, record.id)
+		if record.OnRelease != nil {
+			record.OnRelease()
 		}
-		h.Op = nil // timers keep h for a while, and must not keep a value; a server may still be reading the op
-		e.ops.Add(-1)
-		e.bytes.Add(-h.size)
+		record.Op = nil // timers keep the record for a while and must not retain the value; a server may still be reading the op
+		e.opCount.Add(-1)
+		e.byteCount.Add(-record.size)
 	}
 }
 
-// ended takes a push's one outcome.
-func (e *Engine) ended(h *op, p *push, r Result) {
-	at := -1
-	for i := range h.out {
-		if h.out[i] == p {
-			at = i
+// pushEnded handles a push's single outcome.
+func (e *Engine) pushEnded(record *opRecord, p *push, r Result) {
+	index := -1
+	for i := range record.openPushes {
+		if record.openPushes[i] == p {
+			index = i
 		}
 	}
-	if r.Body.Size > 0 && (at < 0 || h.over) {
-		r.Body.Close() // nobody waits for it
+	if r.Body.Size > 0 && (index < 0 || record.ended) {
+		r.Body.Close() // nobody reads it
 	}
-	if at < 0 {
-		return // given up before: its outcome was told then
+	if index < 0 {
+		return // the push was aborted earlier and its outcome reported then
 	}
-	h.out = append(h.out[:at], h.out[at+1:]...)
-	if !r.Outcome.NotExecuted() && (h.ran == 0 || p.at < h.ran) {
-		h.ran = p.at
+	record.openPushes = append(record.openPushes[:index], record.openPushes[index+1:]...)
+	if !r.Outcome.NotExecuted() && (record.firstRunAt == 0 || p.sentAt < record.firstRunAt) {
+		record.firstRunAt = p.sentAt
 	}
 	e.Counters.Pushes[r.Outcome]++
-	if r.Outcome == policy.Acked && !h.over {
+	if r.Outcome == policy.Acked && !record.ended {
 		e.Counters.Acked++
-		e.end(h)
-		if answers := e.answers(h); !answers && r.Body.Size > 0 {
+		e.endOp(record)
+		if claimed := e.claimAnswer(record); !claimed && r.Body.Size > 0 {
 			r.Body.Close()
-		} else if !answers { // its client has its answer
+		} else if !claimed { // the client already has its answer
 		} else if r.Body.Size > 0 {
-			h.Reply.Streamed(r.Body) // whether it ends well is between cache and client: nothing is pushed anew
+			record.Reply.Streamed(r.Body) // the op is not retried if the stream fails: the cache's bytes go straight to the client
 		} else {
-			h.Reply.Acked(r.Value)
+			record.Reply.Acked(r.Value)
 		}
 	}
 	if r.Err != nil {
-		e.Logger.Debug().Err(r.Err).Str("op", h.Request.ID).Int("push", p.n).Msg("push failed")
+		e.Logger.Debug().Err(r.Err).Str("op", record.Request.ID).Int("push", p.number).Msg("push failed")
 	}
 	if r.ReportInvalid {
-		e.Counters.ReportsBad++
+		e.Counters.InvalidReports++
 	}
 	if r.ReportedLatency > 0 {
 		e.Counters.Reports++
-		e.module.Reported(p.to, r.ReportedLatency)
+		e.module.Reported(p.cache, r.ReportedLatency)
 	}
-	e.module.PushEnded(h.id, p.n, r.Outcome, r.Missed, h.over, e.now-p.at)
-	e.forget(h)
+	e.module.PushEnded(record.id, p.number, r.Outcome, r.Missed, record.ended, e.now-p.sentAt)
+	e.releaseOp(record)
 }
 
-// UpdateList tells what discovery has said. It may be called from any goroutine.
+// UpdateList applies a list from discovery. It may be called from any goroutine.
 func (e *Engine) UpdateList(kind policy.ListKind, members []Member) {
 	e.queue.put(listEvent, func() {
-		from := time.Now()
-		e.list(kind, members)
-		e.Counters.ListLongest, e.Counters.ListEntries = max(e.Counters.ListLongest, time.Since(from)), len(e.servers)
+		start := time.Now()
+		e.applyList(kind, members)
+		e.Counters.MaxListDuration, e.Counters.ListEntries = max(e.Counters.MaxListDuration, time.Since(start)), len(e.servers)
 	})
 }
 
-func (e *Engine) list(kind policy.ListKind, members []Member) {
+func (e *Engine) applyList(kind policy.ListKind, members []Member) {
 	e.Counters.Lists++
 	entries := make([]policy.Entry, 0, len(members))
-	shut := map[uint32]bool{} // caches to which nothing goes any more, or no longer there
-	var probed []*server      // as they were
+	closed := map[uint32]bool{} // caches that get no more pushes, or have left the list
+	var previous []*server      // servers as they were before the list
 	if kind == policy.ListFull || kind == policy.ListCached {
-		named := make(map[uint32]bool, len(members))
+		listed := make(map[uint32]bool, len(members))
 		for i := range members {
-			named[members[i].ID] = true
+			listed[members[i].ID] = true
 		}
-		for id, s := range e.servers { // who is missing from a whole list is gone
-			if !named[id] {
+		for id, s := range e.servers { // a cache missing from a full list is gone
+			if !listed[id] {
 				s.Retire()
 				delete(e.servers, id)
-				e.leave(s)
-				shut[id], probed = true, append(probed, s)
+				e.noteDeparted(s)
+				closed[id], previous = true, append(previous, s)
 			}
 		}
 	}
 	for _, m := range members {
 		if m.State != policy.Gone {
-			delete(e.left, m.Name)
+			delete(e.departed, m.Name)
 		} else if s := e.servers[m.ID]; s != nil {
-			e.leave(s)
+			e.noteDeparted(s)
 		}
-		// The list need not tell that a cache which was out has been restarted.
-		m.Excluded, m.Start = e.out[m.Name] || e.handed(&m), max(m.Start, e.back[m.Name])
+		// The list need not show that a cache which was out of service was restarted.
+		m.Excluded, m.Start = e.cachesOut[m.Name] || e.outWithSite(&m), max(m.Start, e.returnedAt[m.Name])
 		entries = append(entries, m.Entry)
 		s := e.servers[m.ID]
 		if s != nil && (m.State == policy.Gone || s.member.Addr != m.Addr || s.start < m.Start) {
-			// Gone, elsewhere, or a new process: a connection to the old one may be silent for ever, and a push
-			// written to it would wait in vain. What is out there still ends by itself.
+			// Gone, at another address, or a new process: a connection to the old one may never answer, and a push written to it would
+			// wait in vain. Pushes already in flight end on their own.
 			s.Retire()
 			delete(e.servers, m.ID)
-			probed = append(probed, s)
-			s, shut[m.ID] = nil, true
+			previous = append(previous, s)
+			s, closed[m.ID] = nil, true
 		}
 		if s == nil && m.State != policy.Gone {
 			e.servers[m.ID] = &server{Server: e.Connect(m), start: m.Start}
 		}
 		if s = e.servers[m.ID]; s != nil {
 			if m.State == policy.Draining && s.member.State != policy.Draining {
-				shut[m.ID], probed = true, append(probed, s)
+				closed[m.ID], previous = true, append(previous, s)
 			}
 			s.member = m
 		}
 	}
 	e.module.ListArrived(kind, entries)
-	// Danger: a connection that comes up late, or follows a stale one, would carry a push or a probe there after the drain's grace.
-	e.withdraw(shut)
-	slices.SortFunc(probed, func(x, y *server) int { return cmp.Compare(x.member.ID, y.member.ID) }) // the same order each time
-	for _, s := range probed {
-		s.takeBack()
+	// A connection that is established late, or replaces a stale one, would otherwise carry a push or a probe there after the drain's grace period.
+	e.withdrawPushes(closed)
+	slices.SortFunc(previous, func(x, y *server) int { return cmp.Compare(x.member.ID, y.member.ID) }) // deterministic order
+	for _, s := range previous {
+		s.abortUnwrittenProbe()
 	}
-	e.recall()
+	e.restoreMemory()
 }
 
-const mostLeft = 8 << 10 // caches that have gone and are remembered
+const maxDeparted = 8 << 10 // limit of remembered caches that left the list
 
-func (e *Engine) leave(s *server) {
-	if len(e.left) >= mostLeft {
-		clear(e.left) // the old ones are in no list any more
+func (e *Engine) noteDeparted(s *server) {
+	if len(e.departed) >= maxDeparted {
+		clear(e.departed) // the old entries are no longer in any list
 	}
-	e.left[s.member.Name] = s.start
+	e.departed[s.member.Name] = s.start
 }
 
-// recall hands the module what was learned before, as soon as it knows caches: before there is anything to lose. A number that
-// stands for another name now gets nothing.
-func (e *Engine) recall() {
+// restoreMemory passes the learned state to the module as soon as it knows caches, before it learns anything new. A cache id that now
+// belongs to another name gets nothing.
+func (e *Engine) restoreMemory() {
 	if e.Memory == nil || len(e.servers) == 0 {
 		return
 	}
-	m := *e.Memory
+	memory := *e.Memory
 	e.Memory = nil
-	for id, was := range m.Caches {
-		if s := e.servers[id]; s == nil || s.member.Name != was.Name {
-			delete(m.Caches, id)
+	for id, learned := range memory.Caches {
+		if s := e.servers[id]; s == nil || s.member.Name != learned.Name {
+			delete(memory.Caches, id)
 		}
 	}
-	e.module.Recall(m)
+	e.module.Recall(memory)
 }
