--- a/lab/load/arrivals.go
+++ b/lab/load/arrivals.go
@@ -32,7 +32,7 @@
 	WaitShare float64 // share of the TTL that the client waits for a try
 	// LeaveShare is the share of its wait after which the client leaves; 0 if it does not leave.
 	LeaveShare float64
-	// HonorsRetryAfter is set if the client retries no earlier than a refusal's retry-after time.
+	// HonorsRetryAfter is set if the client waits for the retry-after time of a refusal before it retries.
 	HonorsRetryAfter bool
 	// ProxyChoice is the random number that selects the proxy.
 	ProxyChoice uint64
