--- a/lab/load/arrivals.go
+++ b/lab/load/arrivals.go
@@ -23,13 +23,13 @@
 
 // Arrival is one op with all of its random choices, so that the same seed gives the same load whatever the proxies do.
 type Arrival struct {
-	Due       time.Duration // from the start of the load
-	Seq       uint64        // number of the op, from 1
-	Key       uint64
-	Category  int     // index into the experiment's categories
-	Tenant    int     // index into the experiment's tenants
-	Zone      int     // index into the experiment's zones
-	WaitShare float64 // share of the TTL that the client waits for a try
+	Due             time.Duration // from the start of the load
+	Seq             uint64        // number of the op, from 1
+	Key             uint64
+	Category        int     // index into the experiment's categories
+	Tenant          int     // index into the experiment's tenants
+	Zone            int     // index into the experiment's zones
+	TryTimeoutShare float64 // share of the TTL that the client waits for a try
 	// LeaveShare is the share of its wait after which the client leaves; 0 if it does not leave.
 	LeaveShare float64
 	// HonorsRetryAfter is set if the client waits for the retry-after time of a refusal before it retries.
@@ -52,11 +52,11 @@
 // NewArrivals returns the arrivals of an experiment, drawn with its seed.
 func NewArrivals(exp *experiment.File) *Arrivals {
 	a := &Arrivals{exp: exp, random: rand.New(rand.NewPCG(exp.Seed, arrivalStream))}
-	a.zipf = rand.NewZipf(a.random, exp.Keys.Zipf, zipfOffset, uint64(exp.Keys.Count-1))
-	for _, c := range exp.Category {
+	a.zipf = rand.NewZipf(a.random, exp.Keys.ZipfExponent, zipfOffset, uint64(exp.Keys.Count-1))
+	for _, c := range exp.Categories {
 		a.categoryShares = append(a.categoryShares, c.Share)
 	}
-	for _, t := range exp.Tenant {
+	for _, t := range exp.Tenants {
 		a.tenantShares = append(a.tenantShares, t.Share)
 	}
 	return a
@@ -72,27 +72,27 @@
 
 // KeyOf returns the key that has a popularity rank at a moment. With a drift of keys, ranks move to other keys over time.
 func KeyOf(exp *experiment.File, rank uint64, at time.Duration) uint64 {
-	if exp.Keys.Drift > 0 {
+	if exp.Keys.DriftPerSecond > 0 {
 		phase := float64(Mix64(rank)>>11) / mantissaRange
-		rank += uint64(float64(exp.Keys.Count)) * uint64(at.Seconds()*exp.Keys.Drift+phase)
+		rank += uint64(float64(exp.Keys.Count)) * uint64(at.Seconds()*exp.Keys.DriftPerSecond+phase)
 	}
 	return max(Mix64(rank^exp.Seed<<32), 1)
 }
 
 // activeAt reports whether a fault is active at a moment. A fault without a duration does not end.
 func activeAt(f experiment.Fault, at time.Duration) bool {
-	return at >= f.At.D() && (f.For == 0 || at < f.At.D()+f.For.D())
+	return at >= f.Start.Std() && (f.Duration == 0 || at < f.Start.Std()+f.Duration.Std())
 }
 
 // rate returns the ops per second at a moment.
 func (a *Arrivals) rate(at time.Duration) float64 {
 	rate := a.exp.Load.Rate
-	for _, s := range a.exp.Load.Surge {
-		if at >= s.At.D() && at < s.At.D()+s.For.D() {
-			rate *= s.Times
+	for _, s := range a.exp.Load.Surges {
+		if at >= s.Start.Std() && at < s.Start.Std()+s.Duration.Std() {
+			rate *= s.Factor
 		}
 	}
-	for _, f := range a.exp.Fault {
+	for _, f := range a.exp.Faults {
 		if f.Kind == "runaway" && activeAt(f, at) {
 			rate += a.exp.Load.Rate * a.shareOf(f.Name) * (f.Size - 1)
 		}
@@ -103,7 +103,7 @@
 // shareOf returns a tenant's share of the ops, 0 to 1.
 func (a *Arrivals) shareOf(tenant string) float64 {
 	sum, share := 0.0, 0.0
-	for _, t := range a.exp.Tenant {
+	for _, t := range a.exp.Tenants {
 		if sum += t.Share; t.Name == tenant {
 			share = t.Share
 		}
@@ -129,7 +129,7 @@
 // Next draws the next op. It returns false at the end of the experiment.
 func (a *Arrivals) Next() (Arrival, bool) {
 	a.now += time.Duration(-math.Log(1-a.random.Float64()) / a.rate(a.now) * float64(time.Second))
-	if a.now >= a.exp.Length.D() {
+	if a.now >= a.exp.Length.Std() {
 		return Arrival{}, false
 	}
 	a.drawn++
@@ -139,19 +139,19 @@
 		Seq:              a.drawn,
 		Category:         a.choose(a.categoryShares),
 		Zone:             a.random.IntN(len(a.exp.Zones.Names)),
-		WaitShare:        a.exp.Clients.Patience,
-		HonorsRetryAfter: a.random.Float64() < a.exp.Clients.Heed,
+		TryTimeoutShare:  a.exp.Clients.TryTimeoutShare,
+		HonorsRetryAfter: a.random.Float64() < a.exp.Clients.RetryAfterShare,
 		ProxyChoice:      a.random.Uint64(),
 	}
 	tenantShares := append([]float64(nil), a.tenantShares...)
 	rank, hotKeyDraw := a.zipf.Uint64(), a.random.Float64()
-	for _, f := range a.exp.Fault {
+	for _, f := range a.exp.Faults {
 		if !activeAt(f, a.now) {
 			continue
 		}
 		switch f.Kind {
 		case "runaway":
-			for i, t := range a.exp.Tenant {
+			for i, t := range a.exp.Tenants {
 				if t.Name == f.Name {
 					tenantShares[i] *= f.Size
 				}
@@ -164,12 +164,12 @@
 	}
 	op.Key = KeyOf(a.exp, rank, a.now)
 	op.Tenant = a.choose(tenantShares)
-	for _, f := range a.exp.Fault {
-		if f.Kind == "impatient" && activeAt(f, a.now) && (f.Name == "" || f.Name == a.exp.Tenant[op.Tenant].Name) {
-			op.WaitShare *= f.Size
+	for _, f := range a.exp.Faults {
+		if f.Kind == "impatient" && activeAt(f, a.now) && (f.Name == "" || f.Name == a.exp.Tenants[op.Tenant].Name) {
+			op.TryTimeoutShare *= f.Size
 		}
 	}
-	if a.random.Float64() < a.exp.Clients.Leave {
+	if a.random.Float64() < a.exp.Clients.LeaveShare {
 		op.LeaveShare = 0.05 + 0.9*a.random.Float64() // neither at once nor just before the answer is due
 	}
 	return op, true
--- a/lab/load/balancer.go
+++ b/lab/load/balancer.go
@@ -28,7 +28,7 @@
 type Proxy struct {
 	Addr     string
 	Zone     int
-	Endpoint ways.End
+	Endpoint ways.Endpoint
 	// Incarnation is the number of the process that serves now, unique over all proxies; 0 if none does.
 	Incarnation atomic.Uint32
 
@@ -50,7 +50,7 @@
 	ConnsRefused atomic.Int64
 
 	// Links holds the faults of links between clients and proxies; nil if there are none.
-	Links *ways.Table
+	Links *ways.RuleTable
 
 	exp *experiment.File
 }
@@ -128,7 +128,7 @@
 // pick chooses a proxy in the client's zone. Proxies that are known to be dead, or that refuse clients, are chosen only if
 // there is no other.
 func (b *Balancer) pick(zone int, choice uint64, at time.Duration) *Proxy {
-	for _, f := range b.exp.Fault {
+	for _, f := range b.exp.Faults {
 		if f.Kind == "hot-proxy" && activeAt(f, at) && float64(Mix64(choice)>>11)/mantissaRange < f.Size {
 			return b.Proxies[min(f.Count, len(b.Proxies)-1)]
 		}
@@ -136,7 +136,7 @@
 	var sameZone, available []*Proxy
 	for _, p := range b.Proxies {
 		p.mu.Lock()
-		excluded := !p.diedAt.IsZero() && time.Since(p.diedAt) > b.exp.Front.Notice.D() ||
+		excluded := !p.diedAt.IsZero() && time.Since(p.diedAt) > b.exp.Balancer.DetectionDelay.Std() ||
 			!p.pingFailedAt.IsZero() && time.Since(p.pingFailedAt) > pingFailureDelay || p.refusesConns() && !p.hasIdleConn()
 		p.mu.Unlock()
 		if excluded {
@@ -159,12 +159,12 @@
 var errTerminating = errors.New("the proxy process is terminating and accepts no connections")
 
 // clientEndpoint is the clients' end of links to and from a zone.
-func clientEndpoint(zone int) ways.End { return ways.End{Site: zone, Name: "clients"} }
+func clientEndpoint(zone int) ways.Endpoint { return ways.Endpoint{Site: zone, Name: "clients"} }
 
 // linkFaulty reports whether a link between a zone's clients and a proxy has a fault, so that an answer given in time may
 // arrive late.
 func (b *Balancer) linkFaulty(zone int, p *Proxy) bool {
-	return b.Links != nil && b.Links.Broken(clientEndpoint(zone), p.Endpoint)
+	return b.Links != nil && b.Links.Faulty(clientEndpoint(zone), p.Endpoint)
 }
 
 // dial returns an idle connection from a zone to a proxy, or opens one.
--- a/lab/load/generator.go
+++ b/lab/load/generator.go
@@ -75,14 +75,14 @@
 
 // runOp carries out one op, with its retries.
 func (g *Generator) runOp(arrival Arrival, due time.Duration) {
-	category := g.exp.Category[arrival.Category]
+	category := g.exp.Categories[arrival.Category]
 	g.meter.RecordSendDelay(g.now() - due)
 	outcome := measure.Outcome{Due: arrival.Due, Category: arrival.Category, Tenant: arrival.Tenant}
-	end := due + category.TTL.D()
+	end := due + category.TTL.Std()
 	mayHaveRun, firstTryAt := false, due
 	for try := 0; try <= g.exp.Clients.Retries; try++ {
 		now := g.now()
-		wait := min(time.Duration(float64(category.TTL.D())*arrival.WaitShare), end-now)
+		wait := min(time.Duration(float64(category.TTL.Std())*arrival.TryTimeoutShare), end-now)
 		if wait < minTryWait {
 			break
 		}
@@ -109,12 +109,12 @@
 		default:
 			mayHaveRun = true
 		}
-		if mayHaveRun && (category.Effect == "at-most-once" || category.Effect == "deduplicated" && (category.Group != "all" || g.now() > firstTryAt+category.Window.D())) {
+		if mayHaveRun && (category.Effect == "at-most-once" || category.Effect == "deduplicated" && (category.DedupGroup != "all" || g.now() > firstTryAt+category.DedupWindow.Std())) {
 			break
 		}
-		retryAfter := g.exp.Clients.Wait.D()
+		retryAfter := g.exp.Clients.RetryDelay.Std()
 		if got.retryAfter > 0 && arrival.HonorsRetryAfter {
-			retryAfter = min(got.retryAfter, g.exp.Rules.MaxComeBack.D())
+			retryAfter = min(got.retryAfter, g.exp.Rules.MaxRetryAfter.Std())
 		}
 		if g.now()+retryAfter >= end {
 			break
@@ -151,8 +151,8 @@
 	}
 	id := tryID(arrival.Seq, try)
 	valueName := fmt.Sprintf("%016x", id)
-	props := fmt.Sprintf("c=%s,t=%s,d=%d", category.Name, g.exp.Tenant[arrival.Tenant].Name, max(wait.Milliseconds(), 1))
-	if g.exp.Clients.Marks && try > 0 {
+	props := fmt.Sprintf("c=%s,t=%s,d=%d", category.Name, g.exp.Tenants[arrival.Tenant].Name, max(wait.Milliseconds(), 1))
+	if g.exp.Clients.MarkRetries && try > 0 {
 		props += ",r=1"
 	}
 	key := fmt.Sprintf("%016x", arrival.Key)
@@ -172,7 +172,7 @@
 	}
 	processAge, restarted := proxy.ProcessAge()
 	g.ledger.Append(ledger.Record{Kind: ledger.OpSent, At: sentAt, Op: id, A: c.process, B: uint32(arrival.Category), C: uint32(wait / time.Microsecond)})
-	timeout := wait + g.exp.Rules.Slack.D()
+	timeout := wait + g.exp.Rules.Slack.Std()
 	if leaveAfter > 0 {
 		timeout = leaveAfter
 	}
@@ -184,7 +184,7 @@
 			// The proxy may have answered in time: the link may have delayed the answer.
 			g.ledger.Append(ledger.Record{Kind: ledger.ClientLeft, At: sentAt + wait, Op: id})
 		}
-		g.meter.RecordTry(processAge, restarted, category.Benefit, got.result == ledger.AnswerAcked && g.now()-sentAt <= category.Target.D())
+		g.meter.RecordTry(processAge, restarted, category.Benefit, got.result == ledger.AnswerAcked && g.now()-sentAt <= category.Target.Std())
 		if got.result == ledger.AnswerAcked || got.result == ledger.AnswerNacked || got.result == ledger.AnswerDeadLettered {
 			g.balancer.release(c)
 		}
--- a/lab/load/load_test.go
+++ b/lab/load/load_test.go
@@ -66,7 +66,7 @@
 		if opsByQuarter[quarter]++; quarter == 3 {
 			opsByHotKey[op.Key]++
 		}
-		if op.WaitShare < x.Clients.Patience {
+		if op.TryTimeoutShare < x.Clients.TryTimeoutShare {
 			impatientByTenant[op.Tenant]++
 			if quarter > 0 {
 				t.Fatalf("an impatient client at %v, after the end of the fault", op.Due)
@@ -152,7 +152,7 @@
 		p.Incarnation.Store(1)
 		generator := NewGenerator(x, NewBalancer(x, []*Proxy{p}), records, measure.NewMeter(x), time.Now())
 		arrival, _ := NewArrivals(x).Next()
-		arrival.LeaveShare, arrival.WaitShare = 0, 0.3
+		arrival.LeaveShare, arrival.TryTimeoutShare = 0, 0.3
 		generator.runOp(arrival, generator.now())
 		time.Sleep(50 * time.Millisecond) // a second answer may be on its way
 		if _, err := records.Close(); err != nil {
--- a/lab/measure/measure.go
+++ b/lab/measure/measure.go
@@ -165,10 +165,10 @@
 // NewMeter returns a meter for a run of an experiment.
 func NewMeter(exp *experiment.File) *Meter {
 	m := &Meter{exp: exp, total: &GroupStats{Name: "all", latencies: newHistogram()}, sendDelays: newHistogram()}
-	for _, c := range exp.Category {
+	for _, c := range exp.Categories {
 		m.categories = append(m.categories, &GroupStats{Name: c.Name, latencies: newHistogram()})
 	}
-	for _, t := range exp.Tenant {
+	for _, t := range exp.Tenants {
 		m.tenants = append(m.tenants, &GroupStats{Name: t.Name, latencies: newHistogram()})
 	}
 	return m
@@ -208,8 +208,8 @@
 func (m *Meter) RecordOutcome(o Outcome) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	category := m.exp.Category[o.Category]
-	inTime := o.Acked && o.Latency <= category.Target.D()
+	category := m.exp.Categories[o.Category]
+	inTime := o.Acked && o.Latency <= category.Target.Std()
 	second := m.second(o.Due)
 	second.Ops++
 	second.Tries += o.Tries
@@ -231,7 +231,7 @@
 	if o.Acked {
 		second.latencies.RecordValue(latency)
 	}
-	if o.Due < m.exp.Warm.D() {
+	if o.Due < m.exp.WarmUp.Std() {
 		return
 	}
 	for _, group := range []*GroupStats{m.total, m.categories[o.Category], m.tenants[o.Tenant]} {
@@ -313,12 +313,12 @@
 		}
 	}
 	stats.SentWithin5ms = float64(sentInTime) / float64(max(m.sendDelays.TotalCount(), 1))
-	ops, last := 0, min(int(m.exp.Length.D()/time.Second), len(m.seconds))
+	ops, last := 0, min(int(m.exp.Length.Std()/time.Second), len(m.seconds))
 	for i, second := range m.seconds {
 		ops += second.Ops
 		second.P50 = milliseconds(second.latencies.ValueAtQuantile(50))
 		second.P99 = milliseconds(second.latencies.ValueAtQuantile(99))
-		if from := int(m.exp.Warm.D() / time.Second); i >= from && i+worstWindow <= last {
+		if from := int(m.exp.WarmUp.Std() / time.Second); i >= from && i+worstWindow <= last {
 			if service := serviceOf(m.seconds[i : i+worstWindow]); service < stats.Worst10s {
 				stats.Worst10s, stats.Worst10sStart = service, i
 			}
@@ -351,12 +351,12 @@
 // fault, for two seconds in a row. It returns 0 if there is no fault, or nothing measured before it, and -1 if service does
 // not recover.
 func recoverySeconds(exp *experiment.File, seconds []*Second) float64 {
-	firstFault, faultsEnd := exp.Length.D(), time.Duration(0)
-	for _, f := range exp.Fault {
-		firstFault, faultsEnd = min(firstFault, f.At.D()), max(faultsEnd, f.At.D()+f.For.D())
+	firstFault, faultsEnd := exp.Length.Std(), time.Duration(0)
+	for _, f := range exp.Faults {
+		firstFault, faultsEnd = min(firstFault, f.Start.Std()), max(faultsEnd, f.Start.Std()+f.Duration.Std())
 	}
-	from, to := int(exp.Warm.D()/time.Second), min(int(firstFault/time.Second), len(seconds))
-	if len(exp.Fault) == 0 || to <= from {
+	from, to := int(exp.WarmUp.Std()/time.Second), min(int(firstFault/time.Second), len(seconds))
+	if len(exp.Faults) == 0 || to <= from {
 		return 0
 	}
 	before := serviceOf(seconds[from:to])
--- a/lab/measure/measure_test.go
+++ b/lab/measure/measure_test.go
@@ -28,8 +28,10 @@
 
 // TestRecoverySeconds checks the time from the end of the last fault to the recovery of service.
 func TestRecoverySeconds(t *testing.T) {
-	span := func(seconds int) experiment.Span { return experiment.Span(time.Duration(seconds) * time.Second) }
-	fault := []experiment.Fault{{At: span(4), For: span(3)}}
+	duration := func(seconds int) experiment.Duration {
+		return experiment.Duration(time.Duration(seconds) * time.Second)
+	}
+	fault := []experiment.Fault{{Start: duration(4), Duration: duration(3)}}
 	for _, c := range []struct {
 		name   string
 		faults []experiment.Fault
@@ -41,9 +43,9 @@
 		{"recovers after two seconds", fault, "199911155999", 2},
 		{"a single good second does not count", fault, "1999111919999", 2},
 		{"never recovers", fault, "199911155555", -1},
-		{"a fault from the start leaves no reference", []experiment.Fault{{At: span(0), For: span(3)}}, "111999", 0},
+		{"a fault from the start leaves no reference", []experiment.Fault{{Start: duration(0), Duration: duration(3)}}, "111999", 0},
 	} {
-		x := &experiment.File{Length: span(len(c.served)), Warm: span(1), Fault: c.faults}
+		x := &experiment.File{Length: duration(len(c.served)), WarmUp: duration(1), Faults: c.faults}
 		var seconds []*Second
 		for _, digit := range c.served {
 			seconds = append(seconds, &Second{BenefitRequested: 10, BenefitInTime: float64(digit - '0')})
