--- a/decide/evidence/histogram.go
+++ b/decide/evidence/histogram.go
@@ -4,13 +4,13 @@
 
 const (
 	binsPerOctave    = 2
-	histogramBins    = 12 * binsPerOctave // from one unit up to about four thousand
+	histogramBins    = 12 * binsPerOctave // upper bounds from one unit up to about 2900; longer times count in the last bin
 	minAnswerSamples = 8                  // answers before a histogram is relied on
 )
 
-// LatencyHistogram is a histogram of answer times in bins of half an octave. Only answers whose push was waited for in
-// full may be added: where clients leave early, slow answers are never seen, and the distribution of the rest would
-// make other answers look late. The zero value is empty.
+// LatencyHistogram is a histogram of answer times in bins of half an octave. Only answers to pushes with a
+// time-out long enough for slow answers may be added: otherwise slow answers are never seen, and the distribution of
+// the rest would make other answers look late. The zero value is empty.
 type LatencyHistogram struct {
 	bins  [histogramBins]float64
 	total float64 // sum of bins
--- a/decide/fleet/site_health.go
+++ b/decide/fleet/site_health.go
@@ -21,10 +21,10 @@
 
 type siteStatus[T ~int64] struct {
 	GroupSuspicion[T]
-	unit        T   // span of its last suspicion
-	losses      int // in a row, each shortly after the last return
-	returnedAt  T   // clock reading of the first answer after a loss
-	returnsOver T   // time from then until all its keys are back
+	unit           T   // length of a first suspicion
+	losses         int // in a row, each shortly after the last return
+	returnedAt     T   // clock reading of the first answer after a loss
+	returnDuration T   // from returnedAt until all its keys are back
 }
 
 const (
@@ -60,9 +60,9 @@
 	if status.failures >= siteFailureThreshold {
 		status.losses++
 		status.returnedAt = now
-		status.returnsOver = min(T(1)<<min(status.losses-1, maxBackoffDoublings), maxReturnUnits) * status.unit
+		status.returnDuration = min(T(1)<<min(status.losses-1, maxBackoffDoublings), maxReturnUnits) * status.unit
 		if status.losses == 1 {
-			status.returnsOver = 0
+			status.returnDuration = 0
 		}
 	}
 	if status.RecordAnswer(); site != s.Local {
@@ -75,6 +75,6 @@
 func (s *SiteHealth[T]) ShouldAvoid(site int, key uint64, now T) bool {
 	status := s.site(site)
 	return status.Active(now) || site != s.Local && s.remote.Active(now) ||
-		now < status.returnedAt+status.returnsOver &&
-			float64(circle.Mix(key, returnSalt)>>11)/(1<<53) >= float64(now-status.returnedAt)/float64(status.returnsOver)
+		now < status.returnedAt+status.returnDuration &&
+			float64(circle.Mix(key, returnSalt)>>11)/(1<<53) >= float64(now-status.returnedAt)/float64(status.returnDuration)
 }
--- a/decide/members/members.go
+++ b/decide/members/members.go
@@ -1,5 +1,5 @@
-// Package members provides a list and a map of servers that count each entry they are asked for. The counter lets tests
-// measure what one event costs; since entries are reached only through methods, no loop over all servers goes uncounted.
+// Package members provides a list and a map of servers that count accesses to their entries. The counter lets tests
+// measure what one event costs: entries are reached only through methods, so every loop over All or At is counted.
 package members
 
 import "iter"
@@ -10,7 +10,7 @@
 // Count returns the number of accesses so far.
 func (v *Visits) Count() int { return v.n }
 
-// List is an ordered set of servers. The zero value is empty and counts no accesses.
+// List is a list of servers. The zero value is empty and counts no accesses.
 type List[T any] struct {
 	members []T
 	visits  *Visits
@@ -52,7 +52,8 @@
 	l.members = append(l.members, member)
 }
 
-// Reset sets the list to length zero values and reuses its memory where that suffices. It counts no accesses.
+// Reset makes the list hold the given number of zero values. It reuses the memory if that is large enough, and counts
+// no accesses.
 func (l *List[T]) Reset(length int) {
 	if cap(l.members) < length {
 		l.members = make([]T, length)
@@ -61,7 +62,8 @@
 	clear(l.members)
 }
 
-// Sort sorts the entries by a function that takes the whole slice. It counts one access per entry.
+// Sort sorts the entries by a function that sorts the given slice in place and must not keep it. It counts one access
+// per entry.
 func (l *List[T]) Sort(sort func([]T)) {
 	for range l.members {
 		l.count()
@@ -75,7 +77,7 @@
 	}
 }
 
-// Map is a set of servers by ID.
+// Map maps IDs to servers.
 type Map[K comparable, T any] struct {
 	members map[K]T
 	visits  *Visits
--- a/decide/pace/pace.go
+++ b/decide/pace/pace.go
@@ -1,10 +1,11 @@
 // Package pace restores the request rate of one of many clients of a shared server after the server was overloaded. Each
-// client sends it only one request in seconds, and one fast answer says little: a server that gets no more than it can
-// do answers nine requests in ten quickly, however low that is. So the client probes: it jumps back to its former rate
-// at once and judges by what follows. A wrong jump is undone, down to the rate it began at and not cut from the higher
-// one, and the next jump needs four times as many fast answers in a row. After a jump that holds, the next needs only
-// one. Clients of a server that has recovered thus regain their rate within one answer each, and one that stays
-// overloaded is probed less and less. The package reads no clock and draws no random numbers.
+// client sends it only one request every few seconds, and one fast answer says little: a server that gets no more than
+// it can handle answers nine requests in ten quickly, even if it can handle few. So the client probes: it jumps back to
+// its former rate at once and judges by what follows. A wrong jump is undone: the rate falls to a little below the one
+// that the jump began at, instead of being cut from the higher one, and the next jump needs four times as many fast
+// answers in a row. After a jump that holds, the next needs only one. Clients of a server that has recovered thus regain
+// their rate within one answer each, and one that stays overloaded is probed less and less. The package reads no clock
+// and draws no random numbers.
 package pace
 
 const (
--- a/decide/roster/roster.go
+++ b/decide/roster/roster.go
@@ -28,8 +28,8 @@
 	lastEmpty   bool // the last held list named none
 }
 
-// Evaluate judges a list: of the known caches in use it lacks missing ones that were not drained, and it names as many
-// caches in use as named.
+// Evaluate judges a list. known is the number of known caches in use, missing the number of those that the list lacks
+// although they were not drained, and named the number of caches in use that the list names.
 func (g *Guard[T]) Evaluate(now T, known, missing, named int) Verdict {
 	if g.MaxMissingShare <= 0 || missing == 0 || float64(missing) < g.MaxMissingShare*float64(known) && named > 0 {
 		g.holding = false
--- a/decide/warm/warm.go
+++ b/decide/warm/warm.go
@@ -54,11 +54,11 @@
 type LearnedState struct {
 	Caches         map[uint32]ServerState `json:"caches"` // by cache ID
 	Origin         ServerState            `json:"origin"`
-	Shadow         ServerState            `json:"shadow"` // the origin, as seen by pushes that may fetch from it
+	Shadow         ServerState            `json:"shadow"` // limit and latencies of the origin, learned from pushes for which a cache may fetch from it
 	LatencyBins    []float64              `json:"usual"`  // evidence.LatencyHistogram of the answers of all caches
-	RecentKeys     []uint64               `json:"kept"`   // keys that caches hold
+	RecentKeys     []uint64               `json:"kept"`   // keys answered recently, probably stored in the caches
 	HotKeys        []HotKey               `json:"hot"`
-	KeyRequests    float64                `json:"asked"` // total that the counts in HotKeys are part of
+	KeyRequests    float64                `json:"asked"` // decaying count of all requests, of which HotKeys counts a part
 	ClientTimeouts []ClientTimeout        `json:"waits"`
 	Tokens         []float64              `json:"tokens"` // by tenant
 	Kinds          []MachineKind          `json:"kinds"`
--- a/internal/engine/counters.go
+++ b/internal/engine/counters.go
@@ -27,13 +27,13 @@
 	Probes             int                  // probes sent
 	ProbesFailed       int                  // probes that brought no report
 	Judged             policy.Counts        // the module's own counters
-	MaxQueueLength     int                  // events in one batch
+	MaxQueueLength     int                  // largest number of events in one batch
 	MaxQueueDelay      time.Duration        // longest wait of an event in the queue
 	MaxBatchDuration   time.Duration        // longest time to handle one batch
 	MaxEventDuration   time.Duration        // longest time to handle one event
 	MaxEventKind       eventKind            // kind of the event with MaxEventDuration
 	ListEntries        int                  // entries of the current list, including the origin
-	MaxListDuration    time.Duration        // time to apply one list
+	MaxListDuration    time.Duration        // longest time to apply one list
 }
 
 var outcomeNames = [policy.Miss + 1]string{"acked", "errored", "full", "timed_out", "connect_failed", "broken",
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -42,7 +42,7 @@
 	Sites map[int]SiteOverride // operators' overrides by zone
 }
 
-// Engine hosts the decision module. The fields from module on belong to the engine's goroutine.
+// Engine hosts the decision module. Counters and the fields from module on belong to the engine's goroutine.
 type Engine struct {
 	Options
 	Counters     Counters
@@ -56,21 +56,21 @@
 	oldestEvent  atomic.Int64 // when the current event was queued, in nanoseconds since clockStart; 0: none is being handled
 	lagResponder *lagResponder
 
-	module        Module
-	catalog       Catalog
-	clockStart    time.Time   // start of the monotonic clock
-	clockOffset   policy.Time // clockStart as time since 1970
-	now           policy.Time // constant while one event is handled
-	timers        timers
-	deferred      []func() // consequences of host calls, run after the module has returned
-	records       map[uint32]*opRecord
-	lastID        uint32
-	servers       map[uint32]*server
-	cachesOut     map[string]bool // caches an operator took out of service
-	returnedAt    map[string]policy.Time
-	siteSchedules map[int]site.Rollout[policy.Time] // operators' overrides of whole zones
-	siteTimerSet  bool                              // the timer for caches that still have to follow a site override is set
-	departed      map[string]policy.Time            // start times of caches that left the list
+	module         Module
+	catalog        Catalog
+	clockStart     time.Time   // start of the monotonic clock
+	clockOffset    policy.Time // clockStart as time since 1970
+	now            policy.Time // constant while one event is handled
+	timers         timers
+	deferred       []func() // consequences of host calls, run after the module has returned
+	records        map[uint32]*opRecord
+	lastID         uint32
+	servers        map[uint32]*server
+	cachesOut      map[string]bool // caches an operator took out of service
+	returnedAt     map[string]policy.Time
+	siteSchedules  map[int]site.Rollout[policy.Time] // operators' overrides of whole zones
+	siteTimerSet   bool                              // the timer for caches that still have to follow a site override is set
+	departedStarts map[string]policy.Time            // start times of caches that left the list
 }
 
 type server struct {
@@ -91,9 +91,9 @@
 type opRecord struct {
 	*Op
 	id         uint32
-	ttl        policy.Time
-	pushCount  int // pushes so far
-	maxPushes  int // limit of pushes
+	deadline   policy.Time // when the client stops waiting, at the latest by the category's TTL
+	pushCount  int         // pushes so far
+	maxPushes  int         // limit of pushes
 	openPushes []*push
 
 	effect      policy.Effect
@@ -113,7 +113,7 @@
 // New creates an engine; Run starts it.
 func New(o Options) *Engine {
 	e := &Engine{Options: o, records: map[uint32]*opRecord{}, servers: map[uint32]*server{}, cachesOut: map[string]bool{}, returnedAt: map[string]policy.Time{},
-		departed: map[string]policy.Time{}, clockStart: time.Now()}
+		departedStarts: map[string]policy.Time{}, clockStart: time.Now()}
 	for _, name := range o.CachesOut {
 		e.cachesOut[name] = true
 	}
@@ -141,15 +141,16 @@
 	return time.Duration(maxTTL+overdueGrace) * timeUnit
 }
 
-// Start creates the module and passes it the cached list. It must be called before Run and before the first Submit.
+// Start creates the module and passes it the known list, as a list of kind ListCached. It must be called before Run and before the first
+// Submit.
 func (e *Engine) Start(catalog Catalog, known []Member) {
 	e.catalog = catalog
 	e.module = e.Options.Module(e.Settings, e.Seed, e)
 	if e.Memory != nil {
-		// The cached list may be older than the snapshot and show a cache as ready that was draining when the process ended. The next
-		// list from discovery takes precedence again.
+		// The known list may be older than the learned state in e.Memory, and show a cache as ready that had left the list or was
+		// draining when that state was copied. The next list from discovery takes precedence again.
 		for i, m := range known {
-			if departedAt, ok := e.Memory.Departed[m.Name]; ok && int64(m.Start) <= departedAt && m.State == policy.Ready {
+			if departedStart, ok := e.Memory.Departed[m.Name]; ok && int64(m.Start) <= departedStart && m.State == policy.Ready {
 				known[i].State = policy.Draining
 			}
 		}
@@ -205,7 +206,7 @@
 		wait, bounded = pulse.BeatInterval, true
 	}
 	if len(e.timers.heap) > 0 {
-		due := max(time.Until(e.wallTime(e.timers.heap[0].dueAt)), 0)
+		due := max(time.Until(e.clockTime(e.timers.heap[0].dueAt)), 0)
 		if !bounded || due < wait {
 			wait, bounded = due, true
 		}
@@ -226,8 +227,8 @@
 	return e.now
 }
 
-// wallTime returns the first moment at which the engine's clock shows t.
-func (e *Engine) wallTime(t policy.Time) time.Time {
+// clockTime converts a reading of the engine's clock to a time.Time: the first moment at which the clock shows t.
+func (e *Engine) clockTime(t policy.Time) time.Time {
 	return e.clockStart.Add(time.Duration(t-e.clockOffset) * timeUnit)
 }
 
@@ -323,8 +324,8 @@
 	if c.TTL > 0 { // The TTL bounds any client's wait: a wrong value from a client would otherwise hold memory.
 		o.Request.Deadline = o.Request.Deadline.AtMost(o.ReceivedAt.Add(time.Duration(c.TTL) * timeUnit))
 	}
-	ttl := e.clockOffset + policy.Time(o.Request.Deadline.Remaining(e.clockStart)/timeUnit)
-	record := &opRecord{Op: o, ttl: ttl, size: size, maxPushes: e.Settings.MostPushes}
+	opDeadline := e.clockOffset + policy.Time(o.Request.Deadline.Remaining(e.clockStart)/timeUnit)
+	record := &opRecord{Op: o, deadline: opDeadline, size: size, maxPushes: e.Settings.MostPushes}
 	if record.effect = c.Effect; record.effect == policy.Deduplicated {
 		record.dedupWindow = c.Window
 	}
@@ -337,8 +338,8 @@
 	record.id = e.lastID
 	e.records[record.id], o.record = record, record
 	e.Counters.Taken++
-	e.timers.set(record.ttl+overdueGrace, func() { e.expire(record) })
-	e.module.OpArrived(record.id, o.Key, o.Category, o.Tenant, o.Request.Write, o.IsRetry, max(record.ttl-e.now, 0))
+	e.timers.set(record.deadline+overdueGrace, func() { e.expire(record) })
+	e.module.OpArrived(record.id, o.Key, o.Category, o.Tenant, o.Request.Write, o.IsRetry, max(record.deadline-e.now, 0))
 	if e.shuttingDown.Load() { // it was submitted just before
 		e.module.HandBack(record.id)
 	}
@@ -369,9 +370,9 @@
 	return true
 }
 
-// endOp marks an op as ended; every op passes through it exactly once. It aborts pushes that no server has fully received: a push that is
-// still dialing, waiting for a connection, or in the kernel's send buffer for a server that hangs would otherwise arrive after the op's
-// answer or its client's leaving. This applies whether or not servers support cancelling.
+// endOp marks an op as ended; every op that the module has seen passes through it exactly once. It aborts pushes that no server has fully
+// received: a push that is still dialing, waiting for a connection, or in the kernel's send buffer for a server that hangs would otherwise
+// arrive after the op's answer or its client's leaving. This applies whether or not servers support cancelling.
 func (e *Engine) endOp(record *opRecord) {
 	record.ended = true
 	for _, p := range record.openPushes {
@@ -391,7 +392,8 @@
 	}
 }
 
-// withdrawPushes aborts all unwritten pushes to some caches. The module must already know that these caches get no more pushes.
+// withdrawPushes aborts all unwritten pushes to the present or earlier servers of some caches. The module must already know the list by which
+// these servers get no more pushes.
 func (e *Engine) withdrawPushes(caches map[uint32]bool) {
 	if len(caches) == 0 {
 		return
@@ -416,13 +418,15 @@
 		if record.OnRelease != nil {
 			record.OnRelease()
 		}
-		record.Op = nil // timers keep the record for a while and must not retain the value; a server may still be reading the op
+		// Timers keep the record for a while and must not retain the value. Only the reference is dropped, since a server may still be
+		// reading the op.
+		record.Op = nil
 		e.opCount.Add(-1)
 		e.byteCount.Add(-record.size)
 	}
 }
 
-// pushEnded handles a push's single outcome.
+// pushEnded handles a push's outcome. Later calls for the same push only close the body.
 func (e *Engine) pushEnded(record *opRecord, p *push, r Result) {
 	index := -1
 	for i := range record.openPushes {
@@ -479,7 +483,7 @@
 func (e *Engine) applyList(kind policy.ListKind, members []Member) {
 	e.Counters.Lists++
 	entries := make([]policy.Entry, 0, len(members))
-	closed := map[uint32]bool{} // caches that get no more pushes, or have left the list
+	closed := map[uint32]bool{} // ids of caches whose server until now gets no more pushes: left the list, draining, restarted or moved
 	var previous []*server      // servers as they were before the list
 	if kind == policy.ListFull || kind == policy.ListCached {
 		listed := make(map[uint32]bool, len(members))
@@ -497,17 +501,17 @@
 	}
 	for _, m := range members {
 		if m.State != policy.Gone {
-			delete(e.departed, m.Name)
+			delete(e.departedStarts, m.Name)
 		} else if s := e.servers[m.ID]; s != nil {
 			e.noteDeparted(s)
 		}
-		// The list need not show that a cache which was out of service was restarted.
+		// A cache that was out of service counts as started on its return: it may have been restarted without the list showing it.
 		m.Excluded, m.Start = e.cachesOut[m.Name] || e.outWithSite(&m), max(m.Start, e.returnedAt[m.Name])
 		entries = append(entries, m.Entry)
 		s := e.servers[m.ID]
 		if s != nil && (m.State == policy.Gone || s.member.Addr != m.Addr || s.start < m.Start) {
-			// Gone, at another address, or a new process: a connection to the old one may never answer, and a push written to it would
-			// wait in vain. Pushes already in flight end on their own.
+			// Gone, at another address, or a new process (or taken for one on its return to service): a connection to the old one may
+			// never answer, and a push written to it would wait in vain. Pushes already in flight end on their own.
 			s.Retire()
 			delete(e.servers, m.ID)
 			previous = append(previous, s)
@@ -536,10 +540,10 @@
 const maxDeparted = 8 << 10 // limit of remembered caches that left the list
 
 func (e *Engine) noteDeparted(s *server) {
-	if len(e.departed) >= maxDeparted {
-		clear(e.departed) // the old entries are no longer in any list
+	if len(e.departedStarts) >= maxDeparted {
+		clear(e.departedStarts) // bounds the memory; a process with an older list may then take a cache that left for a ready one
 	}
-	e.departed[s.member.Name] = s.start
+	e.departedStarts[s.member.Name] = s.start
 }
 
 // restoreMemory passes the learned state to the module as soon as it knows caches, before it learns anything new. A cache id that now
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -338,10 +338,10 @@
 	e, s := startEngine(t, nil)
 	e.Do(func(e *Engine) {
 		o := s.op("a", 0)
-		h := &opRecord{Op: o, id: 1 << 30, ttl: e.now}
+		h := &opRecord{Op: o, id: 1 << 30, deadline: e.now}
 		o.record, e.records[h.id] = h, h
 		e.opCount.Add(1)
-		e.timers.set(h.ttl+overdueGrace, func() { e.expire(h) })
+		e.timers.set(h.deadline+overdueGrace, func() { e.expire(h) })
 	})
 	s.await(0, "dead-lettered a")
 	if c := drainQueue(e); c.OverdueOps != 1 || e.opCount.Load() != 0 {
@@ -354,7 +354,7 @@
 	got := make(chan Counters)
 	e.Do(func(e *Engine) {
 		o := s.op("a", 0)
-		h := &opRecord{Op: o, id: 1 << 30, ttl: e.now + 1000}
+		h := &opRecord{Op: o, id: 1 << 30, deadline: e.now + 1000}
 		e.records[h.id] = h
 		e.Push(h.id, 77, 0)
 		if len(h.openPushes) != 1 || e.Counters.Pushes[policy.NotSent] != 0 {
--- a/internal/engine/ids.go
+++ b/internal/engine/ids.go
@@ -16,8 +16,9 @@
 
 const maxIDsPerGeneration = 1 << 15 // bounds the memory used, whatever ids arrive
 
-// recentIDs remembers the ids of accepted ops for at least the maximum duration of an op, and at most twice that. Clients use a new id for
-// every op. An op with a repeated id would receive another client's answer, or be pushed again after the first op's end.
+// recentIDs remembers the ids of accepted ops for at least the maximum duration of an op, and at most about twice that;
+// for less if more than maxIDsPerGeneration ids arrive within that time. Clients use a new id for every op. An op with a repeated id would
+// receive another client's answer, or be pushed again after the first op's end.
 type recentIDs struct {
 	retention time.Duration
 	seed      maphash.Seed
--- a/internal/engine/lag.go
+++ b/internal/engine/lag.go
@@ -12,12 +12,13 @@
 )
 
 const (
-	lagThreshold     = pulse.BeatInterval   // events or batches that take longer count as lag
+	lagThreshold     = pulse.BeatInterval   // the engine lags once the oldest unfinished event was queued this long ago
 	lagCheckInterval = 5 * time.Millisecond // interval of further checks while the lag lasts
 )
 
 // lagResponder answers requests while the engine's goroutine lags, without waiting for it. An op answered here is never pushed afterwards, as
-// both goroutines move an op's progress by one atomic step that only one of them can win. Its timer runs only while events are handled.
+// both goroutines change an op's progress with one atomic operation, so that only one of them succeeds. begin arms its timer and end stops
+// it.
 type lagResponder struct {
 	engine *Engine
 	timer  *time.Timer
@@ -26,8 +27,8 @@
 	laggedAtLastCheck bool // the engine lagged at the last check; a single check may see a stall of the whole process
 	stopped           bool
 
-	Refused, Failed, Served atomic.Int64 // ops answered here
-	TurnedAway              atomic.Int64 // ops rejected by Submit because the engine lagged
+	Refused, Failed, Served atomic.Int64 // submitted ops answered here
+	TurnedAway              atomic.Int64 // ops that Submit did not accept because the engine lagged
 }
 
 func newLagResponder(e *Engine) *lagResponder {
@@ -36,9 +37,9 @@
 	return r
 }
 
-// begin and end enclose a batch of events.
-func (r *lagResponder) begin(oldest time.Time) {
-	r.engine.setOldestEvent(oldest)
+// begin and end enclose a batch of events that started at the given time.
+func (r *lagResponder) begin(start time.Time) {
+	r.engine.setOldestEvent(start)
 	r.timer.Reset(lagThreshold)
 }
 
@@ -47,7 +48,7 @@
 	r.timer.Stop()
 }
 
-// check answers the ops that are due, and repeats for as long as the batch lasts.
+// check answers the ops for which overload.Decide says so, and repeats for as long as the batch lasts.
 func (r *lagResponder) check() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -56,7 +57,7 @@
 		r.laggedAtLastCheck = false
 		return
 	}
-	r.engine.StallMonitor.Beat(now) // the process is running; only the engine is late with its beat
+	r.engine.StallMonitor.Beat(now) // the process is running; only the engine's own beat is late
 	lag := r.engine.lag(now)
 	if r.laggedAtLastCheck {
 		r.answerDue(func(o *Op) overload.Action { return overload.Decide(o.overloadState(now), overload.Time(lag)) })
@@ -65,7 +66,8 @@
 	r.timer.Reset(lagCheckInterval)
 }
 
-// answerAll answers all open ops at shutdown when the engine does not respond. It returns their number.
+// answerAll answers, at shutdown when the engine does not respond, the open ops for which overload.DecideAtShutdown is not Wait. It returns
+// their number.
 func (r *lagResponder) answerAll() int {
 	now := time.Now()
 	return r.answerDue(func(o *Op) overload.Action { return overload.DecideAtShutdown(o.overloadState(now)) })
@@ -104,7 +106,7 @@
 			return false
 		}
 	}
-	o.Request.Abandon() // no further byte of a push is written
+	o.Request.Abandon() // nobody waits for it any more: no further byte of a push is written
 	r.engine.noteAnswered(o, true)
 	value := o.ackedValue.Load()
 	switch {
@@ -125,7 +127,7 @@
 // LagCounters returns the counts of ops answered or rejected because the engine lagged, for logging.
 func (e *Engine) LagCounters() zerolog.LogObjectMarshaler { return e.lagResponder }
 
-// stop ends the responder: it answers nothing from then on.
+// stop ends the periodic checks. answerAll still works.
 func (r *lagResponder) stop() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -138,7 +140,7 @@
 	l.Int64("refused", r.Refused.Load()).Int64("failed", r.Failed.Load()).Int64("served", r.Served.Load()).Int64("turned_away", r.TurnedAway.Load())
 }
 
-// setOldestEvent records since when the current event has been waiting.
+// setOldestEvent sets the moment from which lag is measured. 0 means that nothing is being handled, so the least value is 1.
 func (e *Engine) setOldestEvent(since time.Time) {
 	e.oldestEvent.Store(max(int64(since.Sub(e.clockStart)), 1))
 }
@@ -170,6 +172,7 @@
 func (e *Engine) endAnswered(o *Op) {
 	if record := o.record; record != nil && !record.ended {
 		e.endOp(record)
+		// To the module this is the same as a client that has left.
 		e.module.ClientLeft(record.id)
 		e.releaseOp(record)
 	}
--- a/internal/engine/operator.go
+++ b/internal/engine/operator.go
@@ -81,7 +81,7 @@
 func (e *Engine) copyMemory() warm.LearnedState {
 	memory := e.module.Learned()
 	memory.Departed = map[string]int64{}
-	for name, start := range e.departed {
+	for name, start := range e.departedStarts {
 		memory.Departed[name] = int64(start)
 	}
 	for _, s := range e.servers {
@@ -187,7 +187,8 @@
 // ErrLastCaches is returned for a request to take the last caches in use out of service.
 var ErrLastCaches = errors.New("no cache in use would be left")
 
-// SetSite takes all caches of a zone out of service, or returns them, one after another. It returns when the first have followed.
+// SetSite takes all caches of a zone out of service, or returns them, spread over the override's duration. It returns when the caches due by
+// now have followed.
 func (e *Engine) SetSite(zone int, override SiteOverride, timeout time.Duration) error {
 	return e.runCall(timeout, func() error {
 		schedule := e.siteSchedulesOf(map[int]SiteOverride{zone: override})[zone]
--- a/internal/engine/policy_host.go
+++ b/internal/engine/policy_host.go
@@ -10,7 +10,7 @@
 // Now returns the clock reading of the current event.
 func (e *Engine) Now() policy.Time { return e.now }
 
-// Push sends an op to a server. If it cannot be sent, the module is told so after it has returned.
+// Push sends an op to a server. If the op cannot be sent, the module is told so after its call has returned.
 func (e *Engine) Push(id, cache uint32, until policy.Time) {
 	record := e.records[id]
 	if record == nil {
@@ -19,8 +19,8 @@
 	p := &push{number: record.pushCount, cache: cache, sentAt: e.now, abort: func(AbortCondition) bool { return true }}
 	record.pushCount++
 	record.openPushes = append(record.openPushes, p)
-	if until == 0 || until > record.ttl {
-		until = record.ttl
+	if until == 0 || until > record.deadline {
+		until = record.deadline
 	}
 	s := e.servers[cache]
 	if record.ended || record.Request.Abandoned() || !record.beginPush() || record.pushCount > record.maxPushes || until <= e.now || s == nil {
@@ -31,7 +31,7 @@
 	o := record.Op
 	o.markTime(&o.Trace.FirstPush, time.Now())
 	o.Trace.Pushes.Add(1)
-	p.abort = s.Push(&record.Request, e.wallTime(until), func(r Result) {
+	p.abort = s.Push(&record.Request, e.clockTime(until), func(r Result) {
 		if r.Outcome == policy.Acked && r.Body.Size == 0 {
 			o.ackedValue.Store(&r.Value)
 		}
@@ -144,7 +144,7 @@
 		}
 		e.module.Probed(cache, reported, r.QueueLength, r.OpsPerSecond)
 	}
-	abort := s.Push(&Request{Probe: true}, e.wallTime(until), func(r Result) { e.queue.put(probeEvent, func() { end(r) }) })
+	abort := s.Push(&Request{Probe: true}, e.clockTime(until), func(r Result) { e.queue.put(probeEvent, func() { end(r) }) })
 	s.cancelProbe = func() {
 		if !ended && abort(IfUnwritten) {
 			end(Result{Outcome: policy.NotSent})
--- a/internal/engine/queue.go
+++ b/internal/engine/queue.go
@@ -15,8 +15,8 @@
 	leaveEvent
 	listEvent
 	probeEvent
-	callEvent // by an operator or the daemon
-	answeredEvent
+	callEvent     // by an operator or the daemon
+	answeredEvent // the lag responder has answered an op
 	timerEvent
 	eventKindCount
 )
--- a/internal/engine/types.go
+++ b/internal/engine/types.go
@@ -28,10 +28,10 @@
 	abandoned atomic.Bool
 }
 
-// Abandoned reports whether the op's client has left. From then on no byte of the request is sent, however late the engine runs.
+// Abandoned reports whether nobody waits for the request any more. From then on no byte of it is sent, however late the engine runs.
 func (r *Request) Abandoned() bool { return r.abandoned.Load() }
 
-// Abandon marks the request as abandoned by its client.
+// Abandon marks the request as one that nobody waits for: its client has left, or already has an answer.
 func (r *Request) Abandon() { r.abandoned.Store(true) }
 
 // MaxContiguousBytes is the longest value kept in one slice, MaxValueBytes the longest value accepted.
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -33,18 +33,18 @@
 
 // Overrides holds what operators have set through the control port.
 type Overrides struct {
-	CachesOut    []string `json:"out"`  // ids of the caches that are out of service
+	CachesOut    []string `json:"out"`  // names of the caches that are out of service
 	DrainClients bool     `json:"away"` // clients are sent to other proxies
 
 	Sites      map[string]SiteOverride `json:"sites,omitempty"` // by site name: the last override of each
-	ReturnedAt map[string]time.Time    `json:"back,omitempty"`  // by cache id: when a cache that was out was put back in service
+	ReturnedAt map[string]time.Time    `json:"back,omitempty"`  // by cache name: when a cache that was out was put back in service
 }
 
 // SiteOverride takes all caches of a site out of service, or puts them back, spread over a duration.
 type SiteOverride struct {
 	Out  bool          `json:"out"`  // out of service; false: returned to service
 	At   time.Time     `json:"at"`   // when the operator set the override
-	Over time.Duration `json:"over"` // spread over this duration, in nanoseconds
+	Over time.Duration `json:"over"` // duration over which the caches follow, in nanoseconds
 }
 
 // MaxSiteDuration limits how long taking a site out or putting it back may take.
@@ -53,7 +53,7 @@
 // maxSites limits the number of site overrides.
 const maxSites = 64
 
-const returnRetention = 10 * time.Minute // longer than any cache takes to warm up
+const returnRetention = 10 * time.Minute // entries are kept this long after a return; slow starts must be shorter
 
 type envelope struct {
 	Version  int             `json:"version"`
@@ -62,7 +62,7 @@
 	Payload  json.RawMessage `json:"word"`
 }
 
-// Store is the overrides file with its lock files. It must be used by one goroutine at a time.
+// Store gives access to a proxy's overrides file, handover file and lock files. It must be used by one goroutine at a time.
 type Store struct {
 	path, proxy string
 	lastRead    fileStamp
@@ -76,7 +76,8 @@
 	modTime time.Time
 }
 
-// Open returns the store of one proxy; it writes nothing. dir is shared with the proxy's predecessor and successor processes.
+// Open returns the store of one proxy. It opens and writes no file; proxy and the listen address determine the file names.
+// dir is shared with the proxy's predecessor and successor processes.
 func Open(dir, proxy, listen string) *Store {
 	h := fnv.New64a()
 	h.Write([]byte(proxy + "\x00" + listen))
@@ -102,7 +103,7 @@
 	}
 	for name, site := range overrides.Sites {
 		if len(overrides.Sites) > maxSites || site.Over < 0 || site.Over > MaxSiteDuration {
-			return Overrides{}, fmt.Errorf("state: %d sites (at most %d), site %q spread over %v (at most %v)", len(overrides.Sites), maxSites, name, site.Over, MaxSiteDuration)
+			return Overrides{}, fmt.Errorf("state: too many sites (%d, at most %d), or bad duration of site %q: %v (0 to %v)", len(overrides.Sites), maxSites, name, site.Over, MaxSiteDuration)
 		}
 	}
 	return overrides, nil
@@ -197,7 +198,8 @@
 // RemoveHandover deletes a handover file that no process has read.
 func (s *Store) RemoveHandover() { os.Remove(s.path + ".hand") }
 
-// AwaitHandover waits for the handover file, reads and deletes it. If there is none, the process starts without learned state.
+// AwaitHandover waits for the handover file, reads and deletes it. It returns fs.ErrNotExist if there is none in time, and another error if
+// the file is unusable or its age is beyond maxHandoverAge.
 func (s *Store) AwaitHandover(timeout time.Duration) (h Handover, err error) {
 	path := s.path + ".hand"
 	err = readFile(path, s.proxy, maxMemoryBytes, &h)
@@ -216,12 +218,12 @@
 		return Handover{}, err
 	}
 	if age := time.Since(h.At); age < -maxHandoverAge || age > maxHandoverAge {
-		return Handover{}, fmt.Errorf("state: handover is %v old, at most %v", age, maxHandoverAge)
+		return Handover{}, fmt.Errorf("state: handover was written %v ago, allowed is up to %v before or after now", age, maxHandoverAge)
 	}
 	return h, nil
 }
 
-// Changed reports whether the file was replaced since the last Read.
+// Changed reports whether the overrides file was replaced since the last Read, by this Store's own Update too.
 func (s *Store) Changed() bool { return s.currentStamp() != s.lastRead }
 
 func (s *Store) currentStamp() fileStamp {
@@ -238,12 +240,12 @@
 
 // Roles, each held by at most one process.
 const (
-	RoleActive  = "serves" // the process that has been running longest
+	RoleActive  = "serves" // held by the only process, or by the older one during an upgrade
 	RoleStandby = "next"   // its successor
 )
 
 // AcquireRole tries to take a role, which is held until ReleaseRole or the end of the process. It returns false if another process holds
-// it. If lock files cannot be created, it returns true: each process then goes on alone.
+// it. If locking does not work, it returns true, as if no other process existed.
 func (s *Store) AcquireRole(role string) bool {
 	if s.roleLocks[role] != nil {
 		return true
@@ -268,7 +270,8 @@
 	}
 }
 
-// RoleHeldByOther reports whether another process holds a role.
+// RoleHeldByOther reports whether another process holds a role. It tries to take the role and releases it at once, so another process's
+// AcquireRole may fail meanwhile.
 func (s *Store) RoleHeldByOther(role string) bool {
 	if s.roleLocks[role] != nil {
 		return false
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -1,6 +1,7 @@
 package policy
 
-// OpArrived takes a new op. left is how long the client waits for this try, again marks it as a retry.
+// OpArrived takes a new op. account is the number of its tenant, left is how long
+// the client waits for this try, and again marks it as a retry.
 func (b *Balancer) OpArrived(id uint32, key uint64, category, account int, write, again bool, left Time) {
 	now := b.host.Now()
 	category = min(category, len(b.knownCategories)-1)
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -9,8 +9,8 @@
 //  3. slow start: pushes to a cold cache in a window are limited to a ratio of what the fleet answers;
 //  4. health: a cache that can't be reached, or fails far more often than the median, is suspended; slow zones
 //     and reports of peers count as well;
-//  5. limits: concurrency limits to caches and origin are learned; a limit below one push sets a pace and is
-//     restored by trial; probes report queueing delay;
+//  5. limits: concurrency limits to caches and origin are learned; a limit below 1 sets the interval between pushes;
+//     the origin's is restored in one step and taken back after a failure; probes report queueing delay;
 //  6. overload: when all caches together fall short, pushes are refused, ops of small benefit first.
 package policy
 
@@ -31,15 +31,15 @@
 
 // Placement of keys.
 const (
-	circleSlack     = 4   // s0 of round-mapping, see docs/design.md
-	bucketsPerSlack = 256 // minimum number of buckets, in multiples of circleSlack: leaves room for a fleet to grow
+	circleSlack     = 4   // initial number of buckets in round-mapping, s0 in docs/design.md
+	bucketsPerSlack = 256 // the minimum number of buckets is this times circleSlack: leaves room for a fleet to grow
 	maxCandidates   = 3   // caches that a key may go to
 )
 
 // Limits and evidence.
 const (
 	initialFleetLimit = 12                   // pushes in flight to a cache from all proxies before anything is learned
-	windowQuarters    = evidence.WindowSlots // quarters of the slow-start window, and the one begun
+	windowQuarters    = evidence.WindowSlots // slots of the slow-start window: four complete quarters and the current one
 	missWork          = 1.0 / 3              // work of a miss, relative to an answer
 	suspicionPushes   = 2                    // expected pushes to a cache during which a suspicion lasts
 	overloadRise      = 1.0 / 16             // share of the remaining range that a failure adds to the overload level
@@ -53,12 +53,12 @@
 	retryShare       = 1.0 / 4 // retries admitted for each answer
 	maxRetryBurst    = 16      // retries admitted at once
 	minAnswerChance  = 1.0 / 8 // probability of an answer in time below which an op is given up at once
-	fullWaitInterval = 8       // one push in this many is waited for in full even where less would do
+	fullWaitInterval = 8       // one push in this many is waited for until the op's deadline, even where a shorter time-out would be chosen
 )
 
 // Cost of exploration and peer messages.
 const (
-	explorationShare    = 1.0 / 256 // maximum share of the ops' benefit spent on exploration; also the worth of a copy
+	explorationShare    = 1.0 / 256 // maximum share of the ops' benefit spent on exploration; also the value of telling the peers of a stored key
 	maxPeerMessageBytes = 32 * 8
 )
 
@@ -97,7 +97,7 @@
 	bucketsStale    bool // effective weights have changed: buckets are assigned anew at the next tick
 	circle          circle.Circle
 	origin          *cache
-	originFetches   *cache // the origin, as seen through pushes that may make a cache fetch from it
+	originFetches   *cache // limit and latencies of the origin, learned from pushes for which a cache may fetch from it; nil with Aside
 	peerMessage     []byte // stored keys to be sent to the peers
 	ops             map[uint32]*op
 	originQueue     []*op
@@ -108,14 +108,14 @@
 	fleetTotal      cache            // answers and failures of all caches taken together
 	overloadGate    shortage.Gate    // admits only a share of the ops while the fleet as a whole is overloaded
 	refusalOrder    site.LoadShedder // which ops the gate refuses first
-	originPace      pace.Recovery    // restores the pace that the origin took before it was overloaded
+	originPace      pace.Recovery    // restores the limit of the origin as it was before an overload
 	zoneLatencies   map[int]*zoneLatency
-	siteOutages     fleet.SiteHealth[Time] // sites that are lost or cut off
+	siteOutages     fleet.SiteHealth[Time] // zones that seem down or unreachable
 	preferLocalZone bool                   // caches of the own zone come first
 	learnedState                           // may be handed to a following process
 
-	originFailureFactor  float64 // 1, reduced by each failed fetch in a row, to a half by one that proves overload
-	pushInterval         float64 // usual time between two pushes
+	originFailureFactor  float64 // 1 after an answer of the origin; each failure in a row multiplies it by 1-load/2
+	pushInterval         float64 // moving average of the time between two pushes, in units of Time
 	maxBenefit           float64 // highest benefit of a category
 	maxEffectiveWeight   float64 // of all ranked caches
 	totalEffectiveWeight float64 // of all ranked caches
@@ -125,10 +125,10 @@
 	explorationWorth     float64 // share of an op's benefit that exploration may cost
 	peerCopyPrice        float64 // price of sending 8 bytes to all peers
 
-	fullWaits           float64 // pushes waited for in full; decays
+	fullWaits           float64 // answered or timed-out pushes to caches with a time-out of at least half the target latency, not shortened; decays
 	fullWaitsUnanswered float64 // those of them without an answer; decays
 
-	targetLatency    Time // usual target latency of the ops
+	targetLatency    Time // at first the mean over the categories in use, then a moving average over the pushes that end
 	minTargetLatency Time // lowest target latency of a category
 	lastPushAt       Time
 	lastQuarterAt    Time // when the last quarter of the slow-start window began
@@ -163,7 +163,8 @@
 }
 
 // Retune applies new settings. Categories and tenants keep their numbers, new ones are appended, and categories
-// no longer in use are marked Dropped. Open ops keep the rules that they arrived under; learned state is kept.
+// no longer in use are marked Dropped. The tenant for clients without a quota is always the last, so a further quota
+// takes over its number and state. Open ops keep the rules that they arrived under; learned state is kept.
 func (b *Balancer) Retune(s Settings) {
 	b.Settings = s
 	b.initialLimit = max(initialFleetLimit/float64(s.Proxies), 1)
@@ -191,8 +192,8 @@
 		}
 		b.tenants[i].rate = rate
 	}
-	// Where nines of availability count, the last unserved ops weigh more than their number: by this much halfway
-	// to full credit.
+	// If availability is scored in nines, each op costs more the fewer fail. The added term is the derivative of that
+	// score at half of FullAtNines.
 	b.explorationWorth = explorationShare * (1 + s.NinesPart/max(s.FullAtNines, 1)*math.Pow(10, s.FullAtNines/2)/math.Ln10)
 	b.peerCopyPrice = s.PeerPrice * float64(s.Proxies-1) * 8 / maxPeerMessageBytes
 }
--- a/policy/candidates.go
+++ b/policy/candidates.go
@@ -10,8 +10,8 @@
 // Bounds of the work for one request, independent of the number of caches.
 const (
 	maxSalts         = 8 << 10 // salts tried for one key
-	maxCachesVisited = 256     // caches visited where no candidate is usable, or found while caches of the other side are wanted
-	maxHotCandidates = 32      // candidates of one key that are considered
+	maxCachesVisited = 256     // caches visited if no candidate is usable; also the limit of a pending list while the other one is to be filled
+	maxHotCandidates = 32      // candidates of one key that are tried; a key spread over more caches gets a sample of them
 )
 
 // candidateWalk enumerates the caches that a key maps to. A bucket without a cache is hashed again. The salts form
@@ -21,7 +21,7 @@
 type candidateWalk struct {
 	balancer      *Balancer
 	key, salt     uint64
-	spread        int
+	spread        int      // caches that the key is spread over
 	number        uint64   // of the walk; caches store it to note that the walk has reached them
 	candidates    []*cache // in their order
 	localPending  []*cache // reached but not yet candidates; holds all caches unless the local zone is preferred
@@ -86,7 +86,8 @@
 	return w.salt >= min(8*uint64(w.balancer.circle.Size()), maxSalts) || w.visited == w.balancer.ranked.Len()
 }
 
-// sourceExhausted reports whether a list gets no further cache, or only after too many for the other list.
+// sourceExhausted reports whether a list gets no further cache, or the other list has become too long while this one
+// was to be filled.
 func (w *candidateWalk) sourceExhausted(source *[]*cache) bool {
 	if w.exhausted() || !w.balancer.preferLocalZone {
 		return w.exhausted()
--- a/policy/counts.go
+++ b/policy/counts.go
@@ -24,7 +24,7 @@
 
 // Counts holds counters since the balancer's start, and the last known numbers of caches.
 type Counts struct {
-	InconclusiveTimeouts int                    // time-outs that prove little: most answers take longer, or this one got lost
+	InconclusiveTimeouts int                    // time-outs that hardly prove overload: most answers take longer, or this one was probably lost
 	RetriesOverBudget    int                    // retries beyond their tenant's budget
 	DeadlineTooShort     int                    // ops refused on arrival, as an answer before their deadline is unlikely
 	ShortenedPushes      int                    // pushes given up early so that another cache can be asked
--- a/policy/host.go
+++ b/policy/host.go
@@ -5,8 +5,8 @@
 	Now() Time
 	Push(op, cache uint32, until Time)
 	Cancel(op uint32, push int)
-	Nack(op uint32, comeBack Time) // comeBack: advised delay of the client's retry
-	DeadLetter(op uint32)          // ends an op that is not safe to retry
+	Nack(op uint32, retryAfter Time) // retryAfter: advised delay of the client's retry
+	DeadLetter(op uint32)            // ends an op that is not safe to retry
 	Timer(token uint64, after Time)
 	Probe(cache uint32)
 	SendToPeers(message []byte) // to every other proxy, 256 bytes at most
--- a/policy/learned.go
+++ b/policy/learned.go
@@ -34,7 +34,7 @@
 // Record returns what was sent to a cache and learned of it, nil if the cache is not known.
 func (b *Balancer) Record(id uint32) *evidence.Record {
 	b.staleSums = true
-	b.sums.ForgetAnswered() // the caller may change the record; until the next tick no slow start gets more than without history
+	b.sums.ForgetAnswered() // the caller may change the record; until the sums are rebuilt, slow starts get the budget of a fleet without history
 	if c := b.caches.Get(id); c != nil {
 		return &c.Record
 	}
@@ -69,11 +69,11 @@
 			m.Caches[id] = snapshotServer(c)
 		}
 	}
-	hot, asked := b.hotKeys.Snapshot()
+	hot, requests := b.hotKeys.Snapshot()
 	for _, key := range slices.Sorted(maps.Keys(hot)) {
 		m.HotKeys = append(m.HotKeys, warm.HotKey{Key: key, Count: hot[key]})
 	}
-	m.KeyRequests = asked
+	m.KeyRequests = requests
 	for categoryAndTenant, wait := range b.firstTryWaits {
 		span, votes := wait.Snapshot()
 		m.ClientTimeouts = append(m.ClientTimeouts, warm.ClientTimeout{Category: categoryAndTenant[0], Tenant: categoryAndTenant[1], Timeout: int64(span), Votes: votes})
@@ -89,7 +89,7 @@
 }
 
 // Recall takes what another process learned, once, directly after the first list and before the first op. The limits
-// of a rule are never looser than at a start without any knowledge: see warm.LearnedState.Fade.
+// of a rule are never looser than at a start without any knowledge: see warm.LearnedState.Decay.
 func (b *Balancer) Recall(m warm.LearnedState) {
 	restore := func(c *cache, s warm.ServerState) {
 		limit := m.Blend(c.Limit, s.Record.Limit)
--- a/policy/list.go
+++ b/policy/list.go
@@ -82,7 +82,8 @@
 	b.buckets.Reset(bucketCount)
 	for _, c := range b.ranked.All() {
 		if c.effectiveWeight = c.Weight * math.Exp2(-b.kindSpeeds[c.Kind].OctavesSlower); b.RoughWeights {
-			// Rough weights count cores, not what these achieve: halfway to equal weights until speeds are known.
+			// Rough weights count cores, not what these achieve. Their square roots lie halfway to equal weights; learned
+			// speeds still apply.
 			c.effectiveWeight /= math.Sqrt(c.Weight)
 		}
 		b.maxEffectiveWeight = max(b.maxEffectiveWeight, c.effectiveWeight)
--- a/policy/outcomes.go
+++ b/policy/outcomes.go
@@ -84,7 +84,8 @@
 		b.fullWaitsUnanswered += ill
 	}
 	if how == Miss {
-		// Counted in full, misses of a fleet that mostly misses would let too many pushes to cold caches that hit.
+		// Counted in full, the cheap misses of a fleet that mostly misses would raise the slow-start budget, and admit too
+		// many pushes to cold caches whose answers are hits.
 		b.recordAnswer(c, missWork)
 	} else if how == Acked {
 		b.recordAnswer(c, 1)
@@ -168,9 +169,9 @@
 }
 
 // Reported takes a cache's own report of how long its ops take, which reflects the traffic of all proxies.
-func (b *Balancer) Reported(id uint32, pace Time) {
+func (b *Balancer) Reported(id uint32, latency Time) {
 	if c := b.caches.Get(id); c != nil && c != b.origin {
-		if c.reportedSlow = b.kindPaces.ObserveSlow(c.Kind, float64(pace)); c.reportedSlow {
+		if c.reportedSlow = b.kindPaces.ObserveSlow(c.Kind, float64(latency)); c.reportedSlow {
 			b.suspect(c)
 		}
 	}
--- a/policy/push.go
+++ b/policy/push.go
@@ -23,8 +23,8 @@
 	}
 }
 
-// mayFetch reports whether a cache may have to fetch an op's key from the origin. Only such ops wait while the
-// origin is slow.
+// mayFetch reports whether a cache may have to fetch an op's key from the origin. Only such ops are subject to the limit
+// of fetches.
 func (b *Balancer) mayFetch(o *op) bool {
 	return b.originFetches != nil && (o.write || !b.keptKeys.Contains(o.key))
 }
@@ -66,8 +66,8 @@
 	}
 }
 
-// waitUntil is how long a push is waited for. Where answers get lost, this ends before the op's deadline, so that
-// another cache can still answer.
+// waitUntil is the time until which a push is waited for. If answers get lost, that is before the op's deadline, so
+// that another cache can still answer.
 func (b *Balancer) waitUntil(o *op, c *cache, now Time) Time {
 	if c == b.origin || b.mayFetch(o) || o.category.Effect != Redeliverable || o.pushCount+2 > o.worthwhilePushes || b.overload >= overloadNoise ||
 		b.random.Next()%fullWaitInterval == 0 {
--- a/policy/route.go
+++ b/policy/route.go
@@ -5,7 +5,8 @@
 	"slices"
 )
 
-// allowed reports whether the rules and the server's state let an op go there now.
+// allowed reports whether an op may be pushed to a cache or the origin now. Suspension, slow start and failures of
+// the op's category count for caches only.
 func (b *Balancer) allowed(o *op, c *cache, now Time) bool {
 	if !c.listed || c.State != Ready || c.Excluded || slices.Contains(o.triedCaches, c) {
 		return false
@@ -45,14 +46,15 @@
 	return b.leastLoaded(o, considered, now)
 }
 
-// firstUsableCandidate returns the first of a key's candidates that is ready and not far above its mean load, and
-// all candidates that it has considered.
+// firstUsableCandidate returns the first of a key's candidates that the op may be pushed to and whose load is within
+// its bound, and all candidates that it has considered. Of a popular key's candidates a random one comes first.
 func (b *Balancer) firstUsableCandidate(o *op, now Time) (c *cache, considered []*cache) {
-	// A key that gets more requests than a mean cache's fair share is spread over as many caches as it would fill.
+	// A key that gets more requests than one cache's mean share is spread over as many caches as it would fill;
+	// popularity is its share of all requests, 0 to 1.
 	spread := 1 + int(o.popularity*float64(b.ranked.Len()))
-	hot := min(spread, b.ranked.Len()) > maxHotCandidates
+	sampled := min(spread, b.ranked.Len()) > maxHotCandidates
 	var walk *candidateWalk
-	if hot {
+	if sampled {
 		considered = b.hotKeyCandidates(o.key, spread)
 	} else {
 		walk = b.startWalk(o.key, spread)
@@ -62,11 +64,12 @@
 			considered[0], considered[first] = considered[first], considered[0]
 		}
 	}
-	spareOrigin := b.originHasSpareCapacity(o)
-	// Skipped candidates are not counted, up to a bound: where a zone is lost, all of the first three would often be.
+	originHasSpare := b.originHasSpareCapacity(o)
+	// A skipped candidate mostly does not use up one of the tries: during a zone outage all of the first three are often
+	// skipped.
 	limit := max(maxCandidates, min(spread, maxHotCandidates))
 	for i := 0; i < limit; i++ {
-		if !hot {
+		if !sampled {
 			considered = walk.firstCandidates(i + 1)
 		}
 		if i >= len(considered) {
@@ -74,10 +77,10 @@
 		}
 		c := considered[i]
 		switch {
-		case b.skipCandidate(o, c, spareOrigin, now):
+		case b.skipCandidate(o, c, originHasSpare, now):
 			limit = min(limit+1, 3*maxCandidates)
 		// At its limit, a candidate is only passed over if the origin can take the miss that this causes.
-		case b.allowed(o, c, now) && b.withinMeanLoad(c) && (!spareOrigin || b.hasRoom(c, o)):
+		case b.allowed(o, c, now) && b.belowLoadBound(c) && (!originHasSpare || b.hasRoom(c, o)):
 			return c, considered
 		}
 	}
@@ -92,22 +95,25 @@
 }
 
 // skipCandidate reports whether a candidate is passed over for the next one: it, or its whole zone, recently failed
-// this proxy or its peers, its zone is too far away, or it has a long queue. Own failures count only in large fleets
-// of proxies; in a small one each proxy sees enough to rely on limits.
-func (b *Balancer) skipCandidate(o *op, c *cache, spareOrigin bool, now Time) bool {
+// this proxy; peers reported it; its zone is too slow for the op; or queueDelay shows a queue there while the origin
+// has spare capacity. Own failures count only in large fleets of proxies, where each is at first allowed one push in
+// flight to a cache; in a small one each proxy sees enough to rely on limits. A report of peers counts with the
+// probability peerSuspicion, 0 to 1, and only if the origin can take the fetch.
+func (b *Balancer) skipCandidate(o *op, c *cache, originHasSpare bool, now Time) bool {
 	suspected := b.Proxies > initialFleetLimit && (c.suspicion.Active(now) || b.siteOutages.ShouldAvoid(c.Zone, o.key, now)) ||
 		b.random.Float64() < c.peerSuspicion && (b.originFetches == nil || b.hasRoom(b.originFetches, o))
-	return suspected || b.zoneTooSlow(o, c, now) || spareOrigin && b.queueDelay(c, now) > 0
+	return suspected || b.zoneTooSlow(o, c, now) || originHasSpare && b.queueDelay(c, now) > 0
 }
 
-// withinMeanLoad reports whether a cache has at most twice the mean number of pushes in flight, in proportion to its
-// weight.
-func (b *Balancer) withinMeanLoad(c *cache) bool {
+// belowLoadBound reports whether a cache has at most twice the mean number of pushes in flight, in proportion to its
+// weight, or at most two more than the mean if that allows more.
+func (b *Balancer) belowLoadBound(c *cache) bool {
 	mean := float64(b.inFlight) * c.effectiveWeight / b.totalEffectiveWeight
 	return float64(c.inFlight) <= max(2*mean, mean+2)
 }
 
-// leastLoaded returns the least loaded usable cache of those considered, or of others if none of them is usable.
+// leastLoaded returns the least loaded usable cache of those considered, or of a sample of the others if none of them
+// is usable. Caches are compared by queueing delay, then by pushes in flight.
 func (b *Balancer) leastLoaded(o *op, considered []*cache, now Time) (least *cache) {
 	visit := func(c *cache) (enough bool) {
 		if b.allowed(o, c, now) && (least == nil || b.lessLoaded(c, least, now)) {
--- a/policy/state.go
+++ b/policy/state.go
@@ -10,16 +10,16 @@
 	Entry
 	listed         bool
 	hasConnections bool // a push went there since idle connections were last closed
-	isOrigin       bool // the origin itself, or the record of fetches from it
+	isOrigin       bool // the origin itself (Balancer.origin), or the record of fetches from it (Balancer.originFetches)
 	inFlight       int  // own pushes in flight
 
 	evidence.Record                                    // pushes there, their outcomes, and the learned concurrency limit
-	effectiveWeight  float64                           // listed weight, reduced for a slow kind of machine
+	effectiveWeight  float64                           // listed weight, its square root if weights are rough; less for a slow kind of machine
 	limitCutAt       Time                              // when the limit last fell
 	lastPushAt       Time                              // when a push was last sent there
 	minLatency       Time                              // lowest recent median latency, kept for the origin
 	suspension       Time                              // length of the last suspension; 0 once it has answered
-	suspendedUntil   Time                              // not used before
+	suspendedUntil   Time                              // no push goes there before
 	byCategory       evidence.OutcomeCounts[*Category] // answers and failures by category
 	latencies        evidence.LatencyHistogram         // distribution of answer times, in ticks
 	suspicion        fleet.Suspicion[Time]             // passed over while another candidate is not under suspicion
@@ -47,7 +47,7 @@
 	limitShare       float64 // share of a concurrency limit that it may use, 0 to 1
 	quotaPenalty     float64 // share of its benefit that is lost beyond the tenant's quota, 0 to 1
 	popularity       float64 // its key's share of recent requests, 0 to 1
-	deadline         Time    // until then an answer has its full benefit, or is waited for
+	deadline         Time    // time up to which an answer is worth waiting for
 	pushDeadline     Time    // no push begins after that
 	tenant           *tenant
 	maxPushes        int // pushes that it may have by the settings
@@ -69,13 +69,13 @@
 	gateShare float64 // share of ops that the overload gate admitted at that time
 
 	mayFetch  bool // the cache may lack the key and fetch it from the origin
-	fullWait  bool // it waits as long as answers usually may take
-	shortWait bool // it waits for less time than its op has left
+	fullWait  bool // its time-out is the op's deadline, and at least half the target latency
+	shortWait bool // its time-out is before the op's deadline
 }
 
 // tenant is the quota state of one tenant.
 type tenant struct {
 	tokens      float64 // ops that it may have now within its quota
-	rate        float64 // ops a second that it earns at this proxy
+	rate        float64 // its quota at this proxy, in ops a second
 	retryBudget evidence.RetryBudget
 }
--- a/policy/types.go
+++ b/policy/types.go
@@ -68,7 +68,7 @@
 	Cell     int
 	State    State
 	Weight   float64 // above 0
-	Start    Time    // when the process started; 0: long ago
+	Start    Time    // when the process started; 0: unknown, counts as long ago
 	Excluded bool    // by an operator; treated as cold once it is included again
 }
 
@@ -97,7 +97,7 @@
 	OriginKind     int       // kind of machine that marks the origin in the list; -1: no origin is listed
 	ColdFrom       float64   // share of its capacity that a cache has at its start, 0 to 1
 	WarmUp         Time      // time from a cache's start until it has its full capacity
-	FallMultiple   float64   // a cold cache fails at this multiple of its capacity, kept up for TipAfter
+	FallMultiple   float64   // multiple of its present capacity that makes a cold cache fail if kept up for TipAfter
 	TipAfter       Time      // window over which pushes to a cold cache are counted
 	Tick           Time      // resolution of timers
 	MaxRetryAfter  Time      // longest advised delay of a retry; 0: clients take no advice
@@ -106,12 +106,12 @@
 	MarksRetry     bool      // clients mark retries
 	Peers          bool      // proxies send each other messages
 	ConnPrice      float64   // price of 100 open connections to each cache
-	HandshakePrice float64   // price of one new connection an op
-	CrossPrice     float64   // price of one push an op to another zone
+	HandshakePrice float64   // price of one new connection per op
+	CrossPrice     float64   // price of one push to another zone per op
 	Zone           int       // zone of this proxy
 	Zones          int       // number of zones
-	ProbePrice     float64   // price of one probe an op
-	PeerPrice      float64   // price of one full message an op, to one peer
+	ProbePrice     float64   // price of one probe per op
+	PeerPrice      float64   // price of one full message to one peer per op
 	NinesPart      float64   // weight of the nines of availability: how many factors of ten the unserved share lies below 1
 	FullAtNines    float64   // number of nines that earns full credit
 	RoughWeights   bool      // weights give about the size of a cache, not its measured capacity
