--- a/internal/caches/caches.go
+++ b/internal/caches/caches.go
@@ -29,8 +29,9 @@
 	RateField    string // operations completed per second
 }
 
-// AppendRequest appends the command as the client sent it, except for the deadline, which is the attempt's own.
-func (Protocol) AppendRequest(b []byte, r *engine.Request, passed deadline.AttemptDeadline) (encoded []byte, valueOffset int) {
+// AppendRequest appends the command as the client sent it, except for the deadline, which is the attempt's own. For a value in parts, it
+// appends the length line and the final line end, and valueOffset is the position between them.
+func (Protocol) AppendRequest(b []byte, r *engine.Request, attemptDeadline deadline.AttemptDeadline) (encoded []byte, valueOffset int) {
 	if r.Probe {
 		return redcon.AppendBulkString(redcon.AppendBulkString(redcon.AppendArray(b, 2), "INFO"), "load"), 0
 	}
@@ -46,7 +47,7 @@
 	}
 	b = redcon.AppendBulkString(b, r.Key)
 	b = redcon.AppendBulkString(b, r.ID)
-	b = redcon.AppendBulk(b, r.Properties.Append(nil, passed))
+	b = redcon.AppendBulk(b, r.Properties.Append(nil, attemptDeadline))
 	if len(r.Parts) > 0 {
 		b = append(strconv.AppendInt(append(b, '$'), int64(r.Size()), 10), "\r\n"...)
 		return append(b, "\r\n"...), len(b)
@@ -89,7 +90,7 @@
 			n, res, err = parseResponse(rr.buf.Bytes(), rr.LatencyField)
 		}
 		var tooLong *resp.BulkTooLongError
-		if errors.As(err, &tooLong) && !r.Probe && tooLong.ArrayLength == responseForm.MaxElements && tooLong.Index == 0 && tooLong.Length > 0 &&
+		if errors.As(err, &tooLong) && !r.Probe && tooLong.ArrayLength == responseLimits.MaxElements && tooLong.Index == 0 && tooLong.Length > 0 &&
 			tooLong.Length <= engine.MaxValueBytes {
 			rr.buf.Discard(tooLong.Offset)
 			rr.valueSize = tooLong.Length
@@ -110,7 +111,7 @@
 	}
 }
 
-// StreamValue writes an announced value to w. It closes w without an error only if the value ends where its length says.
+// StreamValue writes an announced value to w. It closes w only if the value is followed by a line end where its length says.
 func (rr *responseReader) StreamValue(w *io.PipeWriter) (keep bool, err error) {
 	r := pool.WithReadTimeout(rr.source)
 	for remaining := rr.valueSize; remaining > 0; {
@@ -138,7 +139,8 @@
 			w.Close() // the value is complete, whatever happens to the rest of the response
 		}
 		if len(b) >= 2 {
-			n, err := trailerForm.CheckArray(append([]byte("*2"), b...))
+			// b begins with the value's line end. With an array header before it, the rest of the response is an array of two.
+			n, err := trailerLimits.CheckArray(append([]byte("*2"), b...))
 			if err != nil {
 				return false, nil // the connection can't be reused
 			}
@@ -156,14 +158,14 @@
 	}
 }
 
-// maxLineBytes limits an error line, which includes a load report, and the report that answers a probe.
-const maxLineBytes = 512
+// maxReportBytes limits the load report that answers a probe, and an error line with the load report at its end.
+const maxReportBytes = 512
 
-// responseForm limits a response: an array of the value, the result word and the load report, each of which may be null.
-var responseForm = resp.Limits{MaxElements: 3, MaxBulkLength: engine.MaxContiguousBytes, AllowNull: true}
+// responseLimits limits a response: an array of the value, the result word and the load report, each of which may be null.
+var responseLimits = resp.Limits{MaxElements: 3, MaxBulkLength: engine.MaxContiguousBytes, AllowNull: true}
 
-// trailerForm limits what follows a streamed value: the result word and the load report.
-var trailerForm = resp.Limits{MaxElements: 2, MaxBulkLength: responseForm.MaxBulkLength, AllowNull: true}
+// trailerLimits limits what follows a streamed value: the result word and the load report.
+var trailerLimits = resp.Limits{MaxElements: 2, MaxBulkLength: responseLimits.MaxBulkLength, AllowNull: true}
 
 func invalidResponse(reason any) error {
 	if tooLong, ok := reason.(*resp.BulkTooLongError); ok {
@@ -174,13 +176,13 @@
 
 // parseResponse parses the complete response at the start of b; n is 0 if it is incomplete. It accepts exactly the agreed format: an invalid
 // response must neither be served nor be taken as proof that the request was not executed, and one that can't become
-// complete must not be waited for. Only the load report may have any content: an unreadable one is ignored, and the response
-// remains valid.
+// complete must not be waited for. The load report alone may have any content: an unreadable one is only reported by
+// res.ReportInvalid, and the response remains valid.
 func parseResponse(b []byte, latencyField string) (n int, res engine.Result, err error) {
 	if b[0] == redcon.Error {
 		return parseErrorLine(b, latencyField)
 	}
-	if n, err = responseForm.CheckArray(b); err != nil {
+	if n, err = responseLimits.CheckArray(b); err != nil {
 		return 0, res, invalidResponse(err)
 	}
 	if n == 0 {
@@ -192,13 +194,13 @@
 		parts = append(parts, part)
 		return true
 	})
-	if len(parts) != responseForm.MaxElements {
-		return 0, res, invalidResponse(fmt.Sprintf("array of %d elements, want %d", len(parts), responseForm.MaxElements))
+	if len(parts) != responseLimits.MaxElements {
+		return 0, res, invalidResponse(fmt.Sprintf("array of %d elements, want %d", len(parts), responseLimits.MaxElements))
 	}
 	switch result := string(parts[1].Data); {
 	case isNull(parts[1]), result == "hit":
 	case result == "miss", result == "pending":
-		res.Missed = true
+		res.Missed = true // the cache reports a fetch from the origin; policy.Miss below means that the response holds no value
 	default:
 		return 0, res, invalidResponse(fmt.Sprintf("unknown result word %q", result))
 	}
@@ -212,7 +214,8 @@
 }
 
 // parseProbe parses the complete response to a probe at the start of b, a load report or an error line; n is 0 if it is incomplete. A
-// report that lacks a requested field, or holds an invalid number, results in errIncompleteReport.
+// report that lacks a requested field, or holds an invalid number, yields a result with errIncompleteReport, as does a probe that was
+// rejected as BUSY.
 func (p Protocol) parseProbe(b []byte) (n int, res engine.Result, err error) {
 	if b[0] == redcon.Error {
 		if n, res, err = parseErrorLine(b, ""); n > 0 && res.Outcome == policy.Rejected {
@@ -220,7 +223,7 @@
 		}
 		return n, res, err
 	}
-	if n, err = probeForm.CheckBulk(b); n == 0 || err != nil {
+	if n, err = probeLimits.CheckBulk(b); n == 0 || err != nil {
 		if err != nil {
 			err = invalidResponse(err)
 		}
@@ -237,14 +240,14 @@
 }
 
 var (
-	probeForm           = resp.Limits{MaxElements: 1, MaxBulkLength: maxLineBytes}
-	errIncompleteReport = errors.New("probe response holds no valid queue length and rate")
+	probeLimits         = resp.Limits{MaxElements: 1, MaxBulkLength: maxReportBytes}
+	errIncompleteReport = errors.New("probe was rejected, or its response holds no valid queue length and rate")
 )
 
-func isNull(part redcon.RESP) bool { return part.Raw[1] == '-' } // $-1
+func isNull(part redcon.RESP) bool { return part.Raw[1] == '-' } // a null bulk string is written as $-1
 
-// parseLatency returns the operation latency in a load report. A report that can't be parsed, or holds no positive latency, is
-// invalid.
+// parseLatency returns the operation latency in a load report. A report without a valid positive latency is
+// invalid. A text without "=" is no report, and no latency is expected if field is empty.
 func parseLatency(report, field string) (latency policy.Time, invalid bool) {
 	if ms, ok := parseField(report, field); ok {
 		latency = settings.ReportedLatency(ms)
@@ -252,8 +255,8 @@
 	return latency, latency == 0 && field != "" && strings.Contains(report, "=")
 }
 
-// parseField returns one field of a load report, which caches write as name=value,name=value. ok is false if the report can't be
-// parsed, holds the field twice, or the value is negative or not finite.
+// parseField returns one field of a load report, which caches write as name=value,name=value. ok is false if field is empty,
+// if the report lacks the field, holds it twice, or holds any value that is no number, and if the field is negative or not finite.
 func parseField(report, field string) (found float64, ok bool) {
 	if field == "" || report == "" {
 		return 0, false
@@ -275,8 +278,8 @@
 func parseErrorLine(b []byte, latencyField string) (n int, res engine.Result, err error) {
 	end := bytes.IndexAny(b, "\r\n")
 	switch {
-	case end < 0 && len(b) > maxLineBytes, end > maxLineBytes, end >= 0 && b[end] == '\n':
-		return 0, res, invalidResponse(fmt.Sprintf("error line has no CR within %d bytes", maxLineBytes))
+	case end < 0 && len(b) > maxReportBytes, end > maxReportBytes, end >= 0 && b[end] == '\n':
+		return 0, res, invalidResponse(fmt.Sprintf("error line does not end with CR LF within %d bytes", maxReportBytes))
 	case end < 0 || end+1 == len(b):
 		return 0, res, nil
 	case b[end+1] != '\n':
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -28,10 +28,10 @@
 	responseTimeout = 2 * time.Second // for the caller to read its response
 )
 
-// Errors of handlers. Their texts are sent to the caller.
+// Errors that handlers return. Their texts are sent to the caller.
 var (
 	ErrEnding    = lifecycle.ErrEnding                                              // the process is shutting down and can't carry out the call
-	ErrUnknownID = errors.New("no cache has this id")                               // of a cache or a site
+	ErrUnknownID = errors.New("no cache has this id")                               // the id of a cache or the name of a site is unknown
 	ErrTimeout   = errors.New("not done in time; what it has changed is not known") // the call may have been carried out in part
 	ErrLastCache = errors.New("no cache in use would be left")                      // the call would detach the last caches in use
 )
@@ -46,7 +46,8 @@
 	DetachCache func(id string, detach bool) error
 	// SetLameDuck turns clients away, or accepts them again.
 	SetLameDuck func(lameDuck bool) error
-	// DetachSite detaches all caches of a site one after another, spread over a span of time, or attaches them again.
+	// DetachSite detaches all caches of a site one after another, spread over the given time (0 to state.MaxSiteDuration), or attaches
+	// them again.
 	DetachSite func(name string, detach bool, over time.Duration) error
 }
 
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -483,7 +483,7 @@
 			return ""
 		}
 		calls.Add(1)
-		time.Sleep((retryTimeout + responseTimeout) / 2) // too slow for the short timeout, fast enough for the full one
+		time.Sleep((shortTimeout + responseTimeout) / 2) // too slow for the short timeout, fast enough for the full one
 		return list(1, true, entry("x", "active"))
 	})
 	if got := nextUpdate(t, updates); got.kind != policy.ListFull || calls.Load() < 2 {
--- a/internal/discovery/document.go
+++ b/internal/discovery/document.go
@@ -16,10 +16,11 @@
 )
 
 // document is discovery's response: the whole list if Reset is set, otherwise the entries that have changed.
+// Version is the list's version, which the next call sends back as index.
 type document struct {
-	Generation *uint64   `json:"generation"`
-	Reset      bool      `json:"reset"`
-	Instances  instances `json:"instances"`
+	Version   *uint64   `json:"generation"`
+	Reset     bool      `json:"reset"`
+	Instances instances `json:"instances"`
 }
 
 // instances distinguishes an empty list from a missing one.
@@ -50,9 +51,9 @@
 // as its name is known.
 type NameTable struct {
 	zones, kinds map[string]int
-	ids          map[string]uint32 // by instance id
-	instanceByID map[uint32]string
-	unknownNames atomic.Uint64 // zones and machine types that the settings lack
+	ids          map[string]uint32 // number by instance id
+	instanceByID map[uint32]string // instance id by number
+	unknownNames atomic.Uint64     // zones and machine types that the settings lack
 	log          zerolog.Logger
 }
 
@@ -104,12 +105,12 @@
 	if err := json.Unmarshal(text, &doc); err != nil {
 		return doc, nil, err
 	}
-	if doc.Generation == nil {
+	if doc.Version == nil {
 		return doc, nil, fmt.Errorf("document has no generation")
 	}
 	if doc.Reset && !doc.Instances.present {
 		// Taking it for an empty list would remove all caches.
-		return doc, nil, fmt.Errorf("document of generation %d has reset set but no instances", *doc.Generation)
+		return doc, nil, fmt.Errorf("document of generation %d has reset set but no instances", *doc.Version)
 	}
 	indexByID := map[string]int{}
 	invalid, lastErr := 0, error(nil)
@@ -186,7 +187,7 @@
 		m.Weight = *in.Weight
 	}
 	if in.StartedAtMs > 0 && in.StartedAtMs < maxStartedAtMs {
-		// In units of 0.1 ms: the end of that millisecond, so that the cache is never taken for older than it is.
+		// policy.Time counts units of 0.1 ms. The end of the millisecond is taken, so that the cache never seems older than it is.
 		m.Start = policy.Time(in.StartedAtMs*10 + 9)
 	}
 	return m, nil
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -23,21 +23,24 @@
 	"minttray/policy"
 )
 
-// Timing of calls to a discovery service that all proxies share. They are made on demand: the decision module requests each one.
+// Timing of calls to a discovery service that all proxies share. They are made on demand: the decision module
+// requests the first one, and the next one after each failure.
 const (
-	onDemandWait         = 5 * time.Second // time for which the service holds a call until the list changes
-	onDemandTimeout      = 3 * time.Second // limit for a response, beyond the wait; calls queue at the service
-	onDemandWatchTimeout = 2 * time.Second // limit for a watch, beyond the wait: after it, changes count as delivered whether or not they arrived
+	onDemandWait    = 5 * time.Second // longest time that the service delays its response while the list is unchanged
+	onDemandTimeout = 3 * time.Second // limit for a response, beyond the wait; calls queue at the service
+	// onDemandWatchTimeout is the limit for a watch, beyond the wait: by then the service regards changes as delivered, whether or not they
+	// arrived.
+	onDemandWatchTimeout = 2 * time.Second
 )
 
-// Timing of calls to a discovery agent on the proxy's own machine, which responds immediately and at no cost. Changes that the agent
-// receives when it recovers count as delivered at that moment, and a long call to the silent agent could outlast the grace period of a
-// drain. Calls after a failure are therefore short.
+// Timing of calls to a discovery agent on the proxy's own machine, which responds immediately and at no cost. When a silent agent recovers,
+// the changes that it receives are regarded as delivered to the proxy at that moment, and a long call to the silent agent could outlast the
+// grace period of a drain. Calls after a failure are therefore short.
 const (
-	watchWait        = time.Second            // time for which the agent holds a call until the list changes
+	watchWait        = time.Second            // longest time that the agent delays its response while the list is unchanged
 	responseTimeout  = time.Second            // limit for a response, beyond the wait; also the dial timeout
-	retryWait        = 20 * time.Millisecond  // wait of a call after a failure
-	retryTimeout     = 230 * time.Millisecond // limit for a response beyond the wait, for the first list and after a failure
+	shortWatchWait   = 20 * time.Millisecond  // the same after a failure, and when the watch of a shared service is reopened
+	shortTimeout     = 230 * time.Millisecond // limit for a response beyond the wait, while no list is known and after a failure
 	initialBackoff   = 50 * time.Millisecond  // pause after the first failed call
 	maxBackoff       = 100 * time.Millisecond // limit for the pause between failed calls
 	fullTimeoutEvery = 16                     // one call in this many after a failure gets responseTimeout, so that a slow agent is not ignored
@@ -48,26 +51,27 @@
 	maxHeaderBytes = 16 << 10
 )
 
-// pendingWatchRequests is how many calls of Watch can be pending; further ones are dropped.
-const pendingWatchRequests = 64
+// maxPendingWatchRequests is how many requests of Watch can wait for Run; further ones are dropped.
+const maxPendingWatchRequests = 64
 
 // Watcher keeps a proxy's list of caches up to date.
 type Watcher struct {
 	// NameTable numbers the entries.
 	NameTable *NameTable
-	// OnDemand makes the watcher call only when Watch(true) has requested it; after a failure it waits for the next request.
+	// OnDemand is set for a service that all proxies share. Calls then start with Watch(true) and continue until one fails.
 	OnDemand bool
 	// OnUpdate receives each list and each change.
 	OnUpdate func(policy.ListKind, []engine.Member)
 	Log      zerolog.Logger
-	// Guard judges each whole list. A list that it holds is fetched again.
+	// Guard checks each whole list. Of a list that it does not accept, only the entries are applied, as changes: caches that the list
+	// lacks are kept, and the list is fetched again.
 	Guard roster.Guard[time.Duration]
 	// OriginKind is the machine type of the origin, which does not count as a cache.
 	OriginKind int
 
 	startedAt     time.Time
 	inUse         map[string]bool // names of the caches in use by the last list; used by Run's goroutine only
-	knownVersion  *uint64         // version of the list that the proxy starts with
+	knownVersion  *uint64         // version of the list that the proxy starts with; nil: none
 	watchRequests chan bool
 
 	version, calls, failures, addressChanges, suspectLists atomic.Uint64
@@ -87,7 +91,7 @@
 		startedAt:     time.Now(),
 		OriginKind:    -1,
 		inUse:         map[string]bool{},
-		watchRequests: make(chan bool, pendingWatchRequests),
+		watchRequests: make(chan bool, maxPendingWatchRequests),
 		cancelCall:    func() {},
 	}
 }
@@ -113,7 +117,8 @@
 	return w.addr, ctx, w.cancelCall
 }
 
-// Watch turns calls on or off if OnDemand is set, and has no effect otherwise.
+// Watch(true) starts calls if OnDemand is set; they continue until one fails. A request that comes while calls are being made is read only
+// after the next failure, so Watch(false) does not stop them. Without OnDemand, Watch has no effect.
 func (w *Watcher) Watch(on bool) {
 	select {
 	case w.watchRequests <- on:
@@ -121,13 +126,13 @@
 	}
 }
 
-// LoadKnown decodes the list that the configuration holds.
+// LoadKnown decodes the list that is saved in the configuration, with which the proxy starts.
 func (w *Watcher) LoadKnown(text []byte) ([]engine.Member, error) {
 	if len(text) == 0 || string(text) == "null" {
 		return nil, nil
 	}
 	doc, members, err := w.NameTable.decode(text)
-	w.knownVersion = doc.Generation
+	w.knownVersion = doc.Version
 	w.trackInUse(true, members)
 	return members, err
 }
@@ -141,20 +146,20 @@
 	var version *uint64
 	var versionAddr string // the address that version comes from: versions of two agents are not comparable
 	backoff, failures := initialBackoff, 0
-	on := !w.OnDemand
-	reopen := false // the last watch timed out
+	calling := !w.OnDemand
+	reopen := false // the last watch timed out: the next call follows at once, with the short wait
 	for ctx.Err() == nil {
-		for w.OnDemand && !on {
+		for w.OnDemand && !calling {
 			select {
-			case on = <-w.watchRequests:
+			case calling = <-w.watchRequests:
 			case <-ctx.Done():
 				return
 			}
 		}
 		addr, call, done := w.beginCall(ctx)
 		if addr != versionAddr {
-			// The whole list costs a service that all proxies share one line per cache. The changes since the list that this proxy
-			// starts with are fewer and complete.
+			// From a shared service, the whole list is one line per cache for each proxy. The changes since the list that this proxy
+			// starts with are fewer lines, and sufficient.
 			if version = nil; w.OnDemand && versionAddr == "" {
 				version = w.knownVersion
 			}
@@ -165,7 +170,7 @@
 		short := reopen || !w.OnDemand && (version == nil || failures > 0)
 		fullTimeout := failures%fullTimeoutEvery == fullTimeoutEvery-1
 		next, err := w.fetch(call, client, addr, version, short, fullTimeout)
-		addressChanged := call.Err() != nil
+		callCancelled := call.Err() != nil // the address changed, or ctx has ended
 		if err == nil {
 			done()
 			w.version.Store(*next)
@@ -178,7 +183,7 @@
 			}
 			continue
 		}
-		if addressChanged {
+		if callCancelled {
 			continue
 		}
 		if errors.Is(err, errSuspectList) {
@@ -200,14 +205,14 @@
 		}
 		if w.OnDemand {
 			done()
-			// A watch that timed out is broken, and the changes that it missed count as delivered by now: the pause between failed calls
-			// would consume the grace period of drains. It is reopened at once, but only once, so that a service that does not respond gets
-			// fewer calls.
+			// The service regards the changes that a timed-out watch has missed as delivered by now. Drains among them may have begun, and the
+			// pause between failed calls would use up their grace period. The watch is therefore reopened at once, but only once, so that
+			// a service that does not respond gets fewer calls.
 			if timedOut := errors.Is(err, context.DeadlineExceeded) && version != nil; timedOut && !reopen {
 				reopen = true
 				continue
 			}
-			on, reopen = false, false
+			calling, reopen = false, false
 			w.OnUpdate(policy.ListFailed, nil)
 			continue
 		}
@@ -229,11 +234,12 @@
 // invalidDocumentError means that the service sent a document that can't be used.
 type invalidDocumentError struct{ error }
 
-// errSuspectList means that the guard holds a whole list until it is confirmed.
+// errSuspectList means that the guard does not accept a whole list until later lists confirm it.
 var errSuspectList = errors.New("list lacks too many caches and is not confirmed yet")
 
-// isSuspect reports whether the guard holds a whole list back.
-func (w *Watcher) isSuspect(members []engine.Member) bool {
+// checkSuspect has the guard evaluate a whole list, and reports whether the list must not be accepted yet. It counts and logs the
+// first list of such a series.
+func (w *Watcher) checkSuspect(members []engine.Member) bool {
 	listed := map[string]bool{}
 	ready := 0
 	for _, m := range members {
@@ -251,12 +257,12 @@
 	suspect := w.Guard.Evaluate(time.Since(w.startedAt), len(w.inUse), missing, ready) == roster.Hold
 	if suspect && !wasSuspect {
 		w.suspectLists.Add(1)
-		w.Log.Warn().Int("lacks", missing).Int("of", len(w.inUse)).Msg("list lacks too many caches at once; keeping them and fetching the list again")
+		w.Log.Warn().Int("lacks", missing).Int("of", len(w.inUse)).Msg("list lacks too many caches at once; keeping the missing caches and fetching the list again")
 	}
 	return suspect
 }
 
-// trackInUse records which caches are in use.
+// trackInUse records which caches are in use after a whole list, or after changes.
 func (w *Watcher) trackInUse(whole bool, members []engine.Member) {
 	if whole {
 		clear(w.inUse)
@@ -268,8 +274,9 @@
 	}
 }
 
-// fetch makes one call and delivers its list or changes. short selects the short wait, and for an agent the short timeout too unless
-// fullTimeout is set: for the first call, and for calls after a failure.
+// fetch makes one call and delivers its list or changes. version is the version of the known list; nil requests the whole list. short
+// selects shortWatchWait, and for an agent also shortTimeout unless fullTimeout is set. Run sets short for an agent while no list is known
+// and after a failure, and for a shared service after a watch that timed out.
 func (w *Watcher) fetch(ctx context.Context, client *http.Client, addr string, version *uint64, short, fullTimeout bool) (next *uint64, err error) {
 	defer func() {
 		if recovered := recover(); recovered != nil {
@@ -279,19 +286,19 @@
 	}()
 	u := url.URL{Scheme: "http", Host: addr, Path: "/catalog/members"}
 	timeout := responseTimeout
-	if w.OnDemand { // a call given up while it queues is wasted work for the service, and its repetition adds more
+	if w.OnDemand { // a call that times out in the service's queue still costs the service work, and its retry adds more
 		timeout = onDemandTimeout
 	}
 	wait := onDemandWait
 	switch {
 	case w.OnDemand && short:
-		wait = retryWait
+		wait = shortWatchWait
 	case w.OnDemand && version != nil:
 		timeout = onDemandWatchTimeout
 	case short && fullTimeout:
-		wait = retryWait
+		wait = shortWatchWait
 	case short:
-		timeout, wait = retryTimeout, retryWait
+		timeout, wait = shortTimeout, shortWatchWait
 	case !w.OnDemand:
 		wait = watchWait
 	}
@@ -339,7 +346,7 @@
 		return nil, fmt.Errorf("discovery: address changed from %s to %s during the call", addr, w.addr)
 	}
 	whole := doc.Reset || version == nil
-	if whole && w.isSuspect(members) {
+	if whole && w.checkSuspect(members) {
 		if len(members) > 0 {
 			w.trackInUse(false, members)
 			w.OnUpdate(policy.ListDelta, members)
@@ -357,5 +364,5 @@
 	case len(members) > 0:
 		w.OnUpdate(policy.ListDelta, members)
 	}
-	return doc.Generation, nil
+	return doc.Version, nil
 }
--- a/internal/front/admission.go
+++ b/internal/front/admission.go
@@ -74,14 +74,14 @@
 
 // evictionCandidate selects the connection to evict. It never selects one with pending work, nor one that has sent no
 // command yet but has unread input. The order is: the oldest connection that has never sent a command; one that is
-// half-closed after its last answer; then the longest idle one. Connections active since before are spared, so that new
+// half-closed after its last answer; then the longest idle one. Connections active after cutoff are spared, so that new
 // clients get time to send. A silent one among them is selected only if there is no other, or if silent ones exceed a
 // third of the limit: they arrive by hundreds, with good clients among them.
 //
 // While there is room, an idle connection is evicted only if idle ones exceed half of the limit: the number of
 // connections that clients can hold is limited too, and idle ones would leave them none to open. One connection is
 // evicted at a time: evicting reports that an eviction is under way. The server's mutex is held.
-func (srv *Server) evictionCandidate(before time.Time, hasRoom bool) (chosen *conn, evicting bool) {
+func (srv *Server) evictionCandidate(cutoff time.Time, hasRoom bool) (chosen *conn, evicting bool) {
 	var silent, idle, halfClosed *conn
 	silentCount, idleCount, maxConns := 0, 0, int(srv.MaxConns.Load())
 	for c := range srv.conns {
@@ -89,7 +89,7 @@
 		evicting = evicting || c.evicted && c.workState() == workNone
 		switch {
 		case c.halfClosed:
-			if c.lastActive.Before(before) {
+			if c.lastActive.Before(cutoff) {
 				halfClosed = c
 			}
 		case c.closing || c.workState() != workNone:
@@ -98,7 +98,7 @@
 			if (silent == nil || c.createdAt.Before(silent.createdAt)) && !hasUnreadInput(c.nc) {
 				silent = c
 			}
-		case c.lastActive.Before(before):
+		case c.lastActive.Before(cutoff):
 			idleCount++
 			if idle == nil || c.lastActive.Before(idle.lastActive) {
 				idle = c
@@ -111,7 +111,7 @@
 		return nil, evicting
 	case hasRoom:
 		return idle, false
-	case silent != nil && (silent.createdAt.Before(before) || silentCount > maxConns/3):
+	case silent != nil && (silent.createdAt.Before(cutoff) || silentCount > maxConns/3):
 		return silent, false
 	case halfClosed != nil:
 		return halfClosed, false
--- a/internal/front/arrival_reader_test.go
+++ b/internal/front/arrival_reader_test.go
@@ -58,7 +58,7 @@
 // Guards against a deadline that counts from the read: a client sends more commands at once than may be outstanding, and
 // the last ones are read only when the first are answered.
 func TestTheTimeOfACommandBehindOthersRunsOn(t *testing.T) {
-	const many = maxOutstanding + 100
+	const many = maxOutstandingCommands + 100
 	srv, e := startServer(t, nil)
 	c := dial(t, srv)
 	var commands strings.Builder
@@ -69,14 +69,14 @@
 	c.send(commands.String())
 	written := time.Now()
 	var ops []*engine.Op
-	for range maxOutstanding {
+	for range maxOutstandingCommands {
 		ops = append(ops, receive(t, e.submitted))
 	}
 	time.Sleep(readDelay)
 	for _, o := range ops {
 		o.Reply.Nacked(0)
 	}
-	for range many - maxOutstanding {
+	for range many - maxOutstandingCommands {
 		ops = append(ops, receive(t, e.submitted))
 	}
 	for _, o := range ops {
--- a/internal/front/client_exit_test.go
+++ b/internal/front/client_exit_test.go
@@ -53,8 +53,8 @@
 			waitUntil(t, "stopped", func() bool { return srv.withOnlyConn(func(c *conn) bool { return c.readStopped }) })
 			c.send(getCommand("behind"))
 		}},
-		"too much is outstanding": {maxOutstanding, func(t *testing.T, srv *Server, c *client) {
-			for i := range maxOutstanding {
+		"too much is outstanding": {maxOutstandingCommands, func(t *testing.T, srv *Server, c *client) {
+			for i := range maxOutstandingCommands {
 				c.send(getCommand(fmt.Sprint("more", i)))
 			}
 		}},
@@ -63,7 +63,9 @@
 				t.Fatal("the budget is not free")
 			}
 			c.send(fmt.Sprintf("*5\r\n$9\r\nCACHE.SET\r\n$1\r\nk\r\n$4\r\nlong\r\n$16\r\nc=read,d=5000,x=\r\n$%d\r\nvvv", 1<<20))
-			waitUntil(t, "waiting", func() bool { return srv.withOnlyConn(func(c *conn) bool { return c.partial && c.commandSeen }) })
+			waitUntil(t, "waiting", func() bool {
+				return srv.withOnlyConn(func(c *conn) bool { return c.hasUnhandledInput && c.commandSeen })
+			})
 		}},
 	} {
 		for exitName, leave := range clientExits {
@@ -97,11 +99,11 @@
 	srv, e := startServer(t, nil)
 	c := dial(t, srv)
 	const extra = 5
-	for i := range maxOutstanding + extra {
+	for i := range maxOutstandingCommands + extra {
 		c.send(getCommand(fmt.Sprint("op", i)))
 	}
 	var ops []*engine.Op
-	for range maxOutstanding {
+	for range maxOutstandingCommands {
 		ops = append(ops, receive(t, e.submitted))
 	}
 	select {
@@ -109,7 +111,7 @@
 		t.Fatal("more requests submitted than may be outstanding")
 	default:
 	}
-	for i := range maxOutstanding + extra {
+	for i := range maxOutstandingCommands + extra {
 		if i >= len(ops) {
 			ops = append(ops, receive(t, e.submitted))
 		}
@@ -123,8 +125,8 @@
 	}
 }
 
-// Guards against a lost command: a connection is selected for eviction while a command arrives on it, which would be
-// submitted and never answered.
+// Guards against a lost command: a connection is selected for eviction while a command arrives on it, which would
+// never be answered.
 func TestACommandThatCrossesMakingWay(t *testing.T) {
 	srv, e := startServer(t, nil)
 	c := dial(t, srv)
@@ -151,7 +153,7 @@
 	waitUntil(t, "idle", func() bool { return candidate() != nil })
 	chosen = candidate()
 	c.send(getCommand("half")[:10])
-	waitUntil(t, "read", func() bool { return srv.withOnlyConn(func(c *conn) bool { return c.partial }) })
+	waitUntil(t, "read", func() bool { return srv.withOnlyConn(func(c *conn) bool { return c.hasUnhandledInput }) })
 	if chosen.evict() {
 		t.Error("evicted with a partial command read")
 	}
@@ -168,7 +170,7 @@
 		t.Errorf("got %q, want EOF", got)
 	}
 	waitUntil(t, "ended", func() bool { return srv.OpenConns() == 0 })
-	if chosen.markPartial() {
+	if chosen.markInputRead() {
 		t.Error("input was recorded after the close")
 	}
 	if len(e.submitted) > 0 {
--- a/internal/front/closing_test.go
+++ b/internal/front/closing_test.go
@@ -212,7 +212,7 @@
 }
 
 // Guards against a lost request: a new connection is closed before its reader has run, after its client has sent a
-// request. The client cannot take that for a close that crossed its next request.
+// request. To the client, that does not look like the usual close between two requests.
 func TestARequestUnreadOnANewConnectionIsAnswered(t *testing.T) {
 	for name, end := range closers {
 		t.Run(name, func(t *testing.T) {
--- a/internal/front/command.go
+++ b/internal/front/command.go
@@ -19,9 +19,9 @@
 )
 
 const (
-	maxValueLength = 64 << 10 // bytes
-	maxNameLength  = 1 << 10  // bytes of a key or id
-	maxWait        = time.Hour
+	maxValueLength = 64 << 10  // bytes
+	maxNameLength  = 1 << 10   // bytes of a key or id
+	maxWait        = time.Hour // longest deadline that a client may send
 )
 
 // errFraming reports that the bounds of commands can no longer be determined.
@@ -70,8 +70,8 @@
 	return n
 }
 
-// parseRequest makes an op of the words of a command whose last byte was received at received. The error's text is sent
-// to the client.
+// parseRequest makes an op from the words of a command whose last byte was received at received or later. The error's
+// text is sent to the client.
 func (n NameTable) parseRequest(words [][]byte, write bool, received time.Time) (*engine.Op, error) {
 	wantWords := 4
 	if write {
--- a/internal/front/conn.go
+++ b/internal/front/conn.go
@@ -10,10 +10,10 @@
 )
 
 const (
-	// maxOutstanding bounds the commands of one connection that wait for their answers.
-	maxOutstanding = 256
-	// maxUnreadAnswers bounds the bytes of answers that one client has not read.
-	maxUnreadAnswers = 1 << 20
+	// maxOutstandingCommands bounds the commands of one connection whose answers are not yet taken up for writing.
+	maxOutstandingCommands = 256
+	// maxUnreadAnswerBytes bounds the bytes of answers that one client has not read.
+	maxUnreadAnswerBytes = 1 << 20
 	// firstCommandTimeout is how long a new connection has to send the first bytes of a command.
 	firstCommandTimeout = 2500 * time.Millisecond
 	// partialCommandTimeout is how long the rest of a command, or the next bytes of a long value, may take.
@@ -29,7 +29,7 @@
 	closingReadTimeout = 500 * time.Millisecond
 	// lingerTimeout is how long the client's end of stream is awaited after the proxy has closed its sending side.
 	lingerTimeout = 300 * time.Millisecond
-	// unsentPollInterval is the time between two checks whether the client's system has acknowledged the last answer.
+	// unsentPollInterval is the time between two checks whether the client's kernel has acknowledged the last answer.
 	unsentPollInterval = 5 * time.Millisecond
 )
 
@@ -38,9 +38,9 @@
 	server        *Server
 	nc            net.Conn
 	createdAt     time.Time
-	drainPosition float64 // 0 to 1: the fraction of unused connections at which this one is closed
+	drainPosition float64 // 0 to 1: if unused, it is closed once ApplyPhase's fraction exceeds this
 
-	overflow bool // admitted above the limit: its requests are refused
+	overflow bool // admitted above Server.MaxConns: its requests are refused
 
 	// Owned by the reader.
 	source        *arrivalReader
@@ -50,24 +50,24 @@
 	badCommands   int
 	submitting    *slot // whose op is being submitted
 
-	mu             sync.Mutex
-	slots          []*slot // in command order; not yet written
-	pendingBytes   int     // of answers not yet written
-	lastActive     time.Time
-	spaceFreed     sync.Cond // the reader waits for it while too much is outstanding
-	wake           chan struct{}
-	commandSeen    bool         // a complete command has been read
-	partial        bool         // part of a command has been read
-	closing        bool         // closes as soon as everything read is answered
-	graceUsed      bool         // the reader waits, once, for the rest of a partial command
-	streaming      *engine.Body // the long value being copied to the client
-	graceDeadline  time.Time
-	halfClosed     bool // all is answered and the proxy's sending side is closed; the client's end of stream is awaited
-	readStopped    bool // no further command is read
-	writing        bool // answers removed from slots are being written
-	evicted        bool // closes to make room for another connection
-	inputRechecked bool // the closing reader has checked once for a first command that arrived unread
-	closed         bool
+	mu                sync.Mutex
+	slots             []*slot // in command order; not yet written
+	unwrittenBytes    int     // bytes of answers not yet written
+	lastActive        time.Time
+	spaceFreed        sync.Cond // the reader waits for it while too much is outstanding
+	wake              chan struct{}
+	commandSeen       bool         // a complete command has been read
+	hasUnhandledInput bool         // input has been read that has no slot yet
+	closing           bool         // closes as soon as everything read is answered
+	graceUsed         bool         // the reader has used its only wait for the rest of a partial command while closing
+	streaming         *engine.Body // the long value being copied to the client
+	graceDeadline     time.Time    // end of that wait if it is for a long value
+	halfClosed        bool         // all is answered and the proxy's sending side is closed; the client's end of stream is awaited
+	readStopped       bool         // no further command is read
+	writing           bool         // answers removed from slots are being written
+	evicted           bool         // closes to make room for another connection
+	inputRechecked    bool         // the closing reader has checked once for a first command that arrived unread
+	closed            bool
 
 	readerDone chan struct{} // closed once the reader has finished with the connection
 }
@@ -87,14 +87,14 @@
 	return c
 }
 
-// drain closes the connection once everything read is answered. The reader stops between commands.
-func (c *conn) drain() {
+// requestClose has the connection closed once everything read is answered. The reader stops between commands.
+func (c *conn) requestClose() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.beginClose()
 }
 
-// beginClose stops the reader between commands. The mutex is held.
+// beginClose is requestClose with the mutex held.
 func (c *conn) beginClose() {
 	if !c.closing {
 		c.closing = true
@@ -110,8 +110,8 @@
 	return c.workState() == workNone && time.Since(c.lastActive) > activityGrace && time.Since(c.createdAt) > firstCommandGrace
 }
 
-// hadTimeToAsk reports whether the client has sent a command, or connected before createdBefore.
-func (c *conn) hadTimeToAsk(createdBefore time.Time) bool {
+// hadTimeForCommand reports whether the client has sent a command, or connected before createdBefore.
+func (c *conn) hadTimeForCommand(createdBefore time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.commandSeen || c.createdAt.Before(createdBefore)
@@ -120,7 +120,7 @@
 // closeGracefully closes a connection without pending work whose reader has stopped. Closing with unread input resets
 // the connection, and the reset could overtake the last answer: so the sending side is closed first, and the client's
 // end of stream is awaited. Input that arrives meanwhile stays unread: a request that was read would be lost by the
-// close, while a client sends again one that was not.
+// close, whereas a client can resend one that was not read.
 func (c *conn) closeGracefully() {
 	if writeCloser, ok := c.nc.(interface{ CloseWrite() error }); ok && writeCloser.CloseWrite() == nil {
 		c.nc.SetReadDeadline(pastDeadline)
@@ -157,7 +157,7 @@
 			c.server.logUnanswered(s.op, s.workState(), reason)
 		}
 	}
-	c.server.pendingBytes.Add(-int64(c.pendingBytes))
+	c.server.unwrittenBytes.Add(-int64(c.unwrittenBytes))
 	var abandoned []*engine.Op
 	for _, s := range c.slots {
 		if s.op != nil && s.answer == nil {
--- a/internal/front/listen.go
+++ b/internal/front/listen.go
@@ -20,7 +20,8 @@
 )
 
 // listen opens an address. If shared, another process may listen there too; a system that refuses that gets an
-// ordinary listener. If the address is in use, as while the previous proxy still ends, it retries for a while.
+// ordinary listener. If the address is in use, for example by the previous proxy that is still shutting down, it retries
+// for up to addressInUseTimeout.
 func listen(addr string, shared bool) (*net.TCPListener, error) {
 	config := net.ListenConfig{}
 	config.SetMultipathTCP(false) // no client uses it, and its sockets accept no filter
@@ -95,7 +96,7 @@
 }
 
 // steerToNewest directs each new connection of a shared address to the second process that listens there, while there
-// are two: connections in the queue of a socket that closes are reset. When one socket remains, the index is out of
+// are two: connections in the queue of a socket that closes are reset. When one socket remains, index 1 is out of
 // range and the kernel selects by its hash as usual.
 func steerToNewest(l *net.TCPListener) error {
 	program, err := bpf.Assemble([]bpf.Instruction{bpf.RetConstant{Val: 1}})
--- a/internal/front/long_value.go
+++ b/internal/front/long_value.go
@@ -28,7 +28,7 @@
 	}
 	c.buf.Discard(tooLong.Offset)
 	c.mu.Lock()
-	c.partial, c.commandSeen = true, true
+	c.hasUnhandledInput, c.commandSeen = true, true
 	c.mu.Unlock()
 	acquired := c.server.longValueBudget.TryAcquire(int64(tooLong.Length))
 	if !acquired {
--- a/internal/front/peer.go
+++ b/internal/front/peer.go
@@ -55,7 +55,7 @@
 	})
 }
 
-// hasUnackedOutput reports whether the kernel holds bytes that the client's system has not acknowledged: closing the
+// hasUnackedOutput reports whether the kernel holds bytes that the client's kernel has not acknowledged: closing the
 // connection could lose them.
 func hasUnackedOutput(nc net.Conn) bool {
 	return checkSocket(nc, func(fd int) bool {
@@ -91,7 +91,8 @@
 }
 
 // waitPeerClosed aborts the connection, after a call of onGone, once the client has left. It returns earlier if done
-// reports true; whatever changes that result moves the read deadline into the past, which wakes the wait.
+// reports true. done is evaluated again when the read deadline is set to pastDeadline, as by
+// closeGracefully and by the stop function of watchPeer.
 func (c *conn) waitPeerClosed(done func() bool, onGone func()) {
 	for {
 		c.nc.SetReadDeadline(time.Time{}) // before the check, so that a wake-up between the two is not undone
--- a/internal/front/reader.go
+++ b/internal/front/reader.go
@@ -15,14 +15,15 @@
 	"minttray/internal/resp"
 )
 
-// readLoop reads commands until the client leaves or the framing is lost. While requests are open it keeps waiting on
-// the connection, so that the engine learns at once of a client that has left.
+// readLoop reads commands until the client leaves, the framing is lost, a timeout expires or the connection is being
+// closed. While requests are open it keeps waiting on the connection, so that the engine learns at once of a client
+// that has left.
 func (c *conn) readLoop() {
 	defer close(c.readerDone)
 	defer c.waitPeerClosed(func() bool { return !c.hasOpenRequest() }, func() {}) // open requests may still lose their client
 	defer func() {
-		if fault := recover(); fault != nil {
-			c.server.logPanic(c, fault)
+		if recovered := recover(); recovered != nil {
+			c.server.logPanic(c, recovered)
 			c.answerSubmitting()
 			c.stopReading() // commands read so far are still answered
 		}
@@ -47,7 +48,7 @@
 			c.rejectAndStop(&c.server.malformed, err)
 			return
 		}
-		if err != nil || !c.markPartial() {
+		if err != nil || !c.markInputRead() {
 			c.abort(clientGone)
 			return
 		}
@@ -56,6 +57,7 @@
 			n, words, err := nextCommand(c.buf.Bytes(), args)
 			var tooLong *resp.BulkTooLongError
 			if errors.As(err, &tooLong) && tooLong.Index == 4 && tooLong.ArrayLength == 5 && tooLong.Length > 0 && tooLong.Length <= engine.MaxValueBytes {
+				// The value, the fifth element of a CACHE.SET, is too long for the buffer.
 				if !c.handleLongSet(tooLong) {
 					return
 				}
@@ -102,8 +104,8 @@
 	errPartialCommand = errors.New("the rest of the command did not come")
 )
 
-// accountBuffer adds the buffer's growth to the sum of all clients' buffers, and returns an error above its bound: each
-// buffer may grow to hold the longest command, but not all of them together.
+// accountBuffer adds the buffer's growth to the sum of all clients' buffers, and returns an error above MaxPendingBytes:
+// each buffer may grow to hold the longest command, but not all of them together.
 func (c *conn) accountBuffer() error {
 	grown := c.buf.Size() - c.accountedSize
 	c.accountedSize += grown
@@ -113,13 +115,12 @@
 	return nil
 }
 
-// markPartial records that input has been read which has no slot yet, and returns false if the connection has been
-// closed meanwhile. Without it, a connection evicted at that moment would lose a command that it has read and may have
-// submitted.
-func (c *conn) markPartial() bool {
+// markInputRead records that input has been read which has no slot yet, and returns false if the connection has been
+// closed meanwhile. Without it, a connection evicted at that moment would lose a command that has been read.
+func (c *conn) markInputRead() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.partial = true
+	c.hasUnhandledInput = true
 	return !c.closed
 }
 
@@ -127,11 +128,11 @@
 func (c *conn) handleReadTimeout() bool {
 	c.mu.Lock()
 	closing, idle := c.closing, c.workState() == workNone && time.Since(c.lastActive) >= idleTimeout
-	partial, commandSeen := c.partial, c.commandSeen
+	hasInput, commandSeen := c.hasUnhandledInput, c.commandSeen
 	c.mu.Unlock()
 	switch {
-	case closing:
-	case partial:
+	case closing: // prepareRead decides whether to read on
+	case hasInput:
 		c.rejectAndStop(&c.server.partialTimeouts, errPartialCommand)
 		return false
 	case !commandSeen:
@@ -140,7 +141,7 @@
 		return false
 	case idle:
 		c.server.idleTimeouts.Add(1)
-		c.drain()
+		c.requestClose()
 	}
 	return true
 }
@@ -166,21 +167,22 @@
 func (c *conn) prepareRead() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.partial = len(c.buf.Bytes()) > 0
+	c.hasUnhandledInput = len(c.buf.Bytes()) > 0
 	deadline := time.Now().Add(idleTimeout)
 	switch {
-	case c.closing && !c.partial && !c.commandSeen && !c.inputRechecked && hasUnreadInput(c.nc):
-		// No command was ever read, so the client cannot take the close for one that crossed its next request.
+	case c.closing && !c.hasUnhandledInput && !c.commandSeen && !c.inputRechecked && hasUnreadInput(c.nc):
+		// No command has been read yet. A client whose first command meets a close can't take that for the usual close
+		// between two requests, so input that has already arrived is read before the close.
 		c.inputRechecked = true
 		deadline = time.Now().Add(activityGrace)
-	case c.closing && (!c.partial || c.graceUsed):
+	case c.closing && (!c.hasUnhandledInput || c.graceUsed):
 		c.markReadStopped() // a partial command whose rest has not arrived is no request
 		return false
 	case c.closing:
 		// The rest may already be in the kernel's buffer; the command is then handled.
 		c.graceUsed = true
 		deadline = time.Now().Add(closingReadTimeout)
-	case c.partial:
+	case c.hasUnhandledInput:
 		deadline = c.partialSince.Add(partialCommandTimeout)
 	case !c.commandSeen && c.overflow:
 		deadline = c.createdAt.Add(overflowCommandTimeout)
@@ -228,8 +230,8 @@
 	return true
 }
 
-// handleCommand handles one command. parts holds a long value; received is the lower bound of the arrival of the last
-// byte. release, if not nil, is called once nobody needs the parts any more. It reports whether to read on.
+// handleCommand handles one command. parts holds a long value; the last byte arrived at received or
+// later. release, if not nil, is called once nobody needs the parts any more. It reports whether to read on.
 func (c *conn) handleCommand(words, parts [][]byte, received time.Time, release func()) bool {
 	submitted := false
 	defer func() {
@@ -271,7 +273,7 @@
 			return true
 		}
 		c.server.rejected.Add(1)
-		s.Nacked(0)
+		s.Nacked(0) // without a retry delay
 		return true
 	case "PING":
 		if c.server.lameDuck.Load() {
@@ -284,8 +286,9 @@
 	return c.rejectCommand(&c.server.malformed, errors.New("unknown command '"+name+"'"))
 }
 
-// refuseBusy refuses the requests of a connection that is being closed because there is no room for it, or because of
-// bad commands read along with them: each request is still answered. Other commands are ignored.
+// refuseBusy answers requests with BUSY on a connection that was admitted above the limit, or that has reached
+// maxBadCommands: requests that were read in the same batch are still answered before the close. Other commands are
+// ignored.
 func (c *conn) refuseBusy(name string) bool {
 	if name != "CACHE.GET" && name != "CACHE.SET" {
 		return true
@@ -295,7 +298,7 @@
 
 // isFull reports whether a further command has to wait. The mutex is held.
 func (c *conn) isFull() bool {
-	return len(c.slots) >= maxOutstanding || c.pendingBytes >= maxUnreadAnswers
+	return len(c.slots) >= maxOutstandingCommands || c.unwrittenBytes >= maxUnreadAnswerBytes
 }
 
 // reserve appends a slot, and waits for room first. It returns false if the connection has been closed.
@@ -320,8 +323,8 @@
 		c.server.Metrics.InFlight.Add(1)
 	}
 	c.commandSeen = true
-	c.pendingBytes += len(s.answer)
-	c.server.pendingBytes.Add(int64(len(s.answer)))
+	c.unwrittenBytes += len(s.answer)
+	c.server.unwrittenBytes.Add(int64(len(s.answer)))
 	c.lastActive = time.Now()
 	isFirst := s.answer != nil && len(c.slots) == 1
 	c.mu.Unlock()
--- a/internal/front/server.go
+++ b/internal/front/server.go
@@ -37,7 +37,7 @@
 	MaxConns          atomic.Int64 // connections open at once
 	Metrics           *figures.Metrics
 	MaxLongValueBytes int64 // bytes of long values under way to caches and origin, for all clients together
-	MaxPendingBytes   int64 // bytes of unread answers, and of buffered partial commands, each for all clients together
+	MaxPendingBytes   int64 // limit for unwrittenBytes and, separately, for bufferedBytes
 	Log               zerolog.Logger
 	Pulse             *pulse.Monitor // detects stalls of this process; nil: stalls are not detected
 
@@ -48,8 +48,8 @@
 	serveDone      chan struct{} // closed once Serve has returned
 	backlogEmptyAt time.Time     // when the accept queue was last seen empty; owned by Serve, then by Close
 
-	pendingBytes  atomic.Int64 // bytes of unread answers
-	bufferedBytes atomic.Int64 // bytes of the connections' read buffers
+	unwrittenBytes atomic.Int64 // bytes of answers not yet written, for all clients together
+	bufferedBytes  atomic.Int64 // bytes of the connections' read buffers, for all clients together
 
 	longValueBudget *semaphore.Weighted // in bytes
 	longValueWait   time.Duration       // how long a long value waits for its share of the budget
@@ -61,19 +61,19 @@
 	truncated  atomic.Int64 // long answers that ended early or had another length than announced
 	rejected   atomic.Int64 // requests refused for lack of room
 	duplicates atomic.Int64 // requests with the id of an open one
-	malformed  atomic.Int64
+	malformed  atomic.Int64 // commands answered with an error: invalid, or too much input buffered
 	panics     atomic.Int64
 
 	// Connections ended, by reason.
-	slowReaders     atomic.Int64 // answers were not read
-	silentTimeouts  atomic.Int64 // no command was ever sent
-	partialTimeouts atomic.Int64 // the rest of a command did not arrive
-	idleTimeouts    atomic.Int64
-	evicted         atomic.Int64 // closed to make room for others
-	rejectedConns   atomic.Int64 // closed unread for lack of room
-	tooManyErrors   atomic.Int64 // sent too many bad commands
-	evictedSilent   atomic.Int64 // of those evicted: no command was ever sent
-	overflowRefused atomic.Int64 // there was no room, and their requests were refused
+	slowReaders          atomic.Int64 // answers were not read
+	silentTimeouts       atomic.Int64 // no command was ever sent
+	partialTimeouts      atomic.Int64 // the rest of a command did not arrive
+	idleTimeouts         atomic.Int64
+	evicted              atomic.Int64 // closed to make room for others
+	rejectedConns        atomic.Int64 // closed unread for lack of room
+	tooManyErrors        atomic.Int64 // sent too many bad commands
+	evictedBeforeCommand atomic.Int64 // of those evicted: no command was ever sent
+	overflowRefused      atomic.Int64 // there was no room, and their requests were refused
 
 	lateWarnings warningLimiter
 }
@@ -156,9 +156,9 @@
 }
 
 // logPanic logs and counts a panic, which ends only the connection it occurred on.
-func (srv *Server) logPanic(c *conn, fault any) {
+func (srv *Server) logPanic(c *conn, recovered any) {
 	srv.panics.Add(1)
-	srv.Log.Error().Interface("panic", fault).Str("client", c.nc.RemoteAddr().String()).Bytes("stack", debug.Stack()).
+	srv.Log.Error().Interface("panic", recovered).Str("client", c.nc.RemoteAddr().String()).Bytes("stack", debug.Stack()).
 		Msg("panic while serving a client connection")
 }
 
@@ -179,9 +179,9 @@
 	srv.mu.Unlock()
 	createdBefore := time.Now().Add(-firstCommandGrace)
 	for _, c := range conns {
-		if policy == lifecycle.CloseAll || policy == lifecycle.CloseInformed && c.hadTimeToAsk(createdBefore) ||
+		if policy == lifecycle.CloseAll || policy == lifecycle.CloseInformed && c.hadTimeForCommand(createdBefore) ||
 			c.drainPosition < fraction && c.isUnused() {
-			c.drain()
+			c.requestClose()
 		}
 	}
 }
@@ -219,6 +219,6 @@
 		Int64("turned_away", srv.rejected.Load()).Int64("twice", srv.duplicates.Load()).Int64("malformed", srv.malformed.Load()).
 		Int64("panics", srv.panics.Load()).Int64("slow", srv.slowReaders.Load()).Int64("silent", srv.silentTimeouts.Load()).
 		Int64("half", srv.partialTimeouts.Load()).Int64("idle", srv.idleTimeouts.Load()).Int64("evicted", srv.evicted.Load()).
-		Int64("evicted_silent", srv.evictedSilent.Load()).Int64("overflowed", srv.overflowRefused.Load()).Int64("warnings_dropped", srv.lateWarnings.dropped.Load()).
+		Int64("evicted_silent", srv.evictedBeforeCommand.Load()).Int64("overflowed", srv.overflowRefused.Load()).Int64("warnings_dropped", srv.lateWarnings.dropped.Load()).
 		Int64("crowded", srv.rejectedConns.Load()).Int64("hopeless", srv.tooManyErrors.Load()).Int64("cut_off", srv.truncated.Load())
 }
--- a/internal/front/server_test.go
+++ b/internal/front/server_test.go
@@ -295,9 +295,9 @@
 		srv.mu.Lock()
 		for c := range srv.conns {
 			c.mu.Lock()
-			half := c.partial
+			hasInput := c.hasUnhandledInput
 			c.mu.Unlock()
-			if half {
+			if hasInput {
 				srv.mu.Unlock()
 				return c
 			}
@@ -313,13 +313,13 @@
 	srv, e := startServer(t, nil)
 	c, whole := dial(t, srv), getCommand("a")
 	c.send(whole[:30])
-	waitForPartial(srv).drain()
+	waitForPartial(srv).requestClose()
 	c.send(whole[30:])
 	receive(t, e.submitted).Reply.Acked([]byte("v"))
 	c.expect("$1", "v", "EOF")
 	silent := dial(t, srv)
 	silent.send(whole[:30])
-	waitForPartial(srv).drain()
+	waitForPartial(srv).requestClose()
 	silent.expect("EOF")
 }
 
@@ -353,7 +353,7 @@
 			t.Fatal("the slow reader was not disconnected")
 		}
 	}
-	for srv.pendingBytes.Load() != 0 {
+	for srv.unwrittenBytes.Load() != 0 {
 		time.Sleep(time.Millisecond)
 	}
 	other := dial(t, srv)
--- a/internal/front/slot.go
+++ b/internal/front/slot.go
@@ -16,8 +16,8 @@
 	op      *engine.Op // nil for a command that needs no op
 	class   *figures.Class
 	outcome figures.Outcome // of the answer; counted once it is written
-	answer  []byte      // nil until there is one; the head of the answer if there is a body
-	body    engine.Body // of a long value, written after answer
+	answer  []byte          // nil until there is one; the head of the answer if there is a body
+	body    engine.Body     // of a long value, written after answer
 }
 
 // Acked answers with a value.
@@ -56,12 +56,12 @@
 		return
 	}
 	s.answer, s.outcome = answer, outcome
-	c.pendingBytes += len(answer)
-	total := c.server.pendingBytes.Add(int64(len(answer)))
+	c.unwrittenBytes += len(answer)
+	total := c.server.unwrittenBytes.Add(int64(len(answer)))
 	isFirst := c.slots[0] == s
 	// Above the bound for all clients, a client with more unread bytes than an equal share is disconnected: a few slow
 	// readers must not take the memory that all clients share.
-	isSlow := total > c.server.MaxPendingBytes && int64(c.pendingBytes) > c.server.MaxPendingBytes/max(c.server.MaxConns.Load(), 1)
+	isSlow := total > c.server.MaxPendingBytes && int64(c.unwrittenBytes) > c.server.MaxPendingBytes/max(c.server.MaxConns.Load(), 1)
 	c.mu.Unlock()
 	if isSlow {
 		c.server.slowReaders.Add(1)
--- a/internal/front/trace.go
+++ b/internal/front/trace.go
@@ -20,13 +20,13 @@
 type closeReason string
 
 const (
-	clientGone     closeReason = "client gone"
-	writeFailed    closeReason = "write failed"
-	slowReader     closeReason = "answers not read"
-	noCommand      closeReason = "no command received"
-	connPanicked   closeReason = "panic"
-	allAnswered    closeReason = "all answered"
-	valueTruncated closeReason = "value not completely sent"
+	clientGone   closeReason = "client gone"
+	writeFailed  closeReason = "write failed"
+	slowReader   closeReason = "answers not read"
+	noCommand    closeReason = "no command received"
+	connPanicked closeReason = "panic"
+	allAnswered  closeReason = "all answered"
+	streamFailed closeReason = "value not completely sent"
 )
 
 var workStateNames = [...]string{workNone: "nothing", workRead: "read", workSubmitted: "handed in", workAnswered: "answered, not written"}
--- a/internal/front/work_state.go
+++ b/internal/front/work_state.go
@@ -1,19 +1,20 @@
 package front
 
-// workState is the most advanced work that a connection or request has pending. conn.workState alone decides that
-// nothing is pending; whatever closes a connection on its own asks it. Only the reader knows whether input has been
-// read and not yet recorded, so even a connection without pending work is not closed before its reader has stopped
-// (conn.readStopped): others request that by beginClose, and the writer closes the connection.
+// workState is the state of a request, or of the oldest pending work of a connection. Code that may close a
+// connection only while no work is pending must use conn.workState to find that out. Only the reader knows whether
+// input has been read and not yet recorded, so even a connection without pending work is not closed before its reader
+// has stopped (conn.readStopped): other goroutines call beginClose, the reader then stops, and the writer closes the
+// connection.
 type workState uint8
 
 const (
 	workNone      workState = iota
-	workRead                // a command has been read, whole or in part, and has no slot yet
-	workSubmitted           // a request has a slot and no answer yet
+	workRead                // a command has been read, whole or in part, and has no entry in conn.slots yet
+	workSubmitted           // a request has an entry in conn.slots and no answer yet
 	workAnswered            // an answer exists and is not completely written
 )
 
-// workState returns the most advanced pending work of the connection. The mutex is held.
+// workState returns the state of the connection's oldest pending work. The mutex is held.
 func (c *conn) workState() workState {
 	switch {
 	case c.writing:
@@ -22,7 +23,7 @@
 		return workAnswered
 	case len(c.slots) > 0:
 		return workSubmitted
-	case c.partial:
+	case c.hasUnhandledInput:
 		return workRead
 	}
 	return workNone
@@ -36,10 +37,10 @@
 	return workSubmitted
 }
 
-// markReadStopped records that nothing more is read and that all commands read have a slot. The reader calls it with
-// the mutex held.
+// markReadStopped records that nothing more is read and that all complete commands read have a slot; an
+// incomplete one is ignored. The reader calls it with the mutex held.
 func (c *conn) markReadStopped() {
-	c.readStopped, c.partial = true, false
+	c.readStopped, c.hasUnhandledInput = true, false
 	c.wakeWriter()
 }
 
@@ -63,7 +64,7 @@
 	}
 	c.evicted = true
 	if !c.commandSeen {
-		c.server.evictedSilent.Add(1)
+		c.server.evictedBeforeCommand.Add(1)
 	}
 	c.beginClose()
 	return true
--- a/internal/front/writer.go
+++ b/internal/front/writer.go
@@ -21,8 +21,8 @@
 // writeLoop writes answers in the order of their commands.
 func (c *conn) writeLoop() {
 	defer func() {
-		if fault := recover(); fault != nil {
-			c.server.logPanic(c, fault)
+		if recovered := recover(); recovered != nil {
+			c.server.logPanic(c, recovered)
 			c.abort(connPanicked)
 		}
 	}()
@@ -30,7 +30,7 @@
 	var batch []slot // whose answers are in output
 	for range c.wake {
 		c.mu.Lock()
-		n := 0
+		n := 0 // length of the batch; an answer with a body ends it, since the body is written before the next answer
 		for n < len(c.slots) && c.slots[n].answer != nil && (n == 0 || c.slots[n-1].body.Size == 0) {
 			output = append(output, c.slots[n].answer...)
 			batch = append(batch, slot{op: c.slots[n].op, class: c.slots[n].class, outcome: c.slots[n].outcome, body: c.slots[n].body})
@@ -50,7 +50,7 @@
 			for _, s := range batch {
 				if err == nil && s.body.Size > 0 { // the last of the batch
 					if err = c.streamBody(s.body); err != nil {
-						reason = valueTruncated
+						reason = streamFailed
 						s.outcome = figures.Failed
 						s.recordOutcome(c.server, true)
 						s.logAnswered(c.server, err)
@@ -70,18 +70,19 @@
 		c.mu.Lock()
 		c.writing = false
 		if lifecycle.ClosePolicy(c.server.closePolicy.Load()) >= lifecycle.CloseAfterReply && len(c.slots) == 0 && len(output) > 0 {
-			// Right after an answer the client is least likely to be sending; what crosses the close is left unread.
+			// Just after an answer the client is unlikely to be sending. A command that arrives after the close is not read.
 			c.beginClose()
 		}
 		if !c.closed {
-			c.pendingBytes -= len(output)
-			c.server.pendingBytes.Add(-int64(len(output)))
+			c.unwrittenBytes -= len(output)
+			c.server.unwrittenBytes.Add(-int64(len(output)))
 		}
 		c.lastActive = time.Now()
 		c.spaceFreed.Signal()
-		// Not before the reader has stopped: a command that was read and has no slot yet would be lost.
+		// The connection is not closed before the reader has stopped: a command that was read and has no slot yet would
+		// be lost.
 		canClose := c.canClose()
-		hasMore := len(c.slots) > 0 && c.slots[0].answer != nil
+		hasNextAnswer := len(c.slots) > 0 && c.slots[0].answer != nil
 		c.mu.Unlock()
 		if output = output[:0]; cap(output) > maxKeptOutputSize {
 			output = nil
@@ -90,14 +91,14 @@
 			c.closeGracefully()
 			return
 		}
-		if hasMore {
+		if hasNextAnswer {
 			c.wakeWriter()
 		}
 	}
 }
 
-// streamBody copies a long value to the client as it arrives. The final line end is written only if the value has ended
-// as announced: otherwise the client must recognise the truncation by the close of the connection.
+// streamBody copies a long value to the client as it arrives. The final line end is written only if the cache has sent
+// exactly body.Size bytes: otherwise the client must recognise the truncation by the close of the connection.
 func (c *conn) streamBody(body engine.Body) error {
 	defer body.Close()
 	c.mu.Lock()
--- a/internal/origin/origin.go
+++ b/internal/origin/origin.go
@@ -31,8 +31,8 @@
 
 // AppendRequest appends GET /KEY, or PUT /KEY with the value. The properties are forwarded unchanged, except for the deadline, which is
 // the attempt's own, as with caches.
-func (p Protocol) AppendRequest(b []byte, r *engine.Request, passed deadline.AttemptDeadline) (encoded []byte, valueOffset int) {
-	properties := string(r.Properties.Append(nil, passed))
+func (p Protocol) AppendRequest(b []byte, r *engine.Request, attemptDeadline deadline.AttemptDeadline) (encoded []byte, valueOffset int) {
+	properties := string(r.Properties.Append(nil, attemptDeadline))
 	req := &http.Request{Method: http.MethodGet, Host: p.Host, URL: &url.URL{Path: "/" + r.Key}, Proto: "HTTP/1.1",
 		ProtoMajor: 1, ProtoMinor: 1, Header: http.Header{"X-Trace-Id": {r.ID}, "X-Props": {properties}, "User-Agent": nil}}
 	if len(r.Parts) > 0 { // http.Request.Write would need the value itself
--- a/internal/pool/attempt_error.go
+++ b/internal/pool/attempt_error.go
@@ -12,7 +12,7 @@
 
 const (
 	NeverConnected  Progress = iota // no connection could be established
-	PartlyWritten                   // the kernel has not accepted the last byte of the request
+	PartlyWritten                   // the kernel has not accepted the last byte of the request; possibly nothing was written
 	FullyWritten                    // the request was written, no byte of the response arrived
 	ResponseStarted                 // the response was incomplete or invalid
 )
--- a/internal/pool/conn.go
+++ b/internal/pool/conn.go
@@ -12,8 +12,8 @@
 	"minttray/policy"
 )
 
-// conn is one connection. A single goroutine writes each attempt and reads its response. Data that arrives while no attempt is
-// pending is detected by checkIdle before the next attempt is written.
+// conn is one connection. A single goroutine writes each attempt and reads its response. Data that arrives on an idle
+// connection is detected by checkIdle before the next attempt is written, or by Shared.CloseExpired.
 type conn struct {
 	pool      *Pool
 	netConn   net.Conn
@@ -22,7 +22,7 @@
 
 	// Used by the serving goroutine only.
 	writeBuffer []byte // the last request written
-	hasServed   bool   // whether an attempt has been served
+	used        bool   // an attempt was taken up, whether or not it was written
 
 	// Guarded by the pool's mutex.
 	attempt     *attempt      // nil: idle or closed
@@ -35,7 +35,7 @@
 type stage uint8
 
 const (
-	stageWaiting stage = iota // for a connection: nothing is written
+	stageWaiting stage = iota // nothing is written yet: no connection is assigned, or the write has not begun
 	stageWriting
 	stageWritten // the kernel has accepted all of it
 )
@@ -43,7 +43,7 @@
 // attempt is one attempt of a request at the pool's server.
 type attempt struct {
 	request          *engine.Request
-	responseDeadline time.Time           // how long the response is waited for
+	responseDeadline time.Time           // until when the response is waited for
 	complete         func(engine.Result) // reports the result
 
 	// Guarded by the pool's mutex.
@@ -101,8 +101,8 @@
 var (
 	errUnsolicitedData = errors.New("data received while no request was pending")
 	errPanic           = errors.New("panic")
-	errCancelled       = errors.New("cancelled before it was written")
-	errNotDelivered    = errors.New("the server's system did not acknowledge the last byte of the request in time")
+	errCancelled       = errors.New("no longer wanted before it was written")
+	errNotDelivered    = errors.New("the server's kernel did not acknowledge the whole request in time")
 )
 
 // serve processes one attempt from its request to the end of its response.
@@ -118,14 +118,14 @@
 		c.replaceStale(a)
 		return
 	}
-	c.hasServed = true
+	c.used = true
 	if !c.beginWrite(a) {
 		c.closeAndFail(a, progress, errCancelled)
 		return
 	}
-	passed, err := c.send(a)
+	attemptDeadline, err := c.send(a)
 	if errors.Is(err, deadline.ErrNoTime) {
-		c.failUnsent(a, err)
+		c.failUnwritten(a, err)
 		return
 	}
 	if err != nil {
@@ -134,7 +134,7 @@
 	}
 	progress = FullyWritten
 	c.markWritten(a)
-	if err := c.awaitResponse(a, passed); err != nil {
+	if err := c.awaitResponse(a, attemptDeadline); err != nil {
 		c.closeAndFail(a, progress, err)
 		return
 	}
@@ -152,9 +152,9 @@
 	c.release(a, c.streamValue(a, res))
 }
 
-// isStale reports whether a connection that has served an attempt was closed by its server or holds unsolicited data, which could be the
-// response to another request.
-func (c *conn) isStale() bool { return c.hasServed && c.checkIdle() != nil }
+// isStale reports whether a connection that was used before has been closed by its server or holds unsolicited data, which could be
+// the response to another request.
+func (c *conn) isStale() bool { return c.used && c.checkIdle() != nil }
 
 // replaceStale closes a stale connection and dispatches its attempt, of which nothing has been written, to another one.
 func (c *conn) replaceStale(a *attempt) {
@@ -216,14 +216,14 @@
 	c.close()
 }
 
-// awaitResponse waits for the first byte of the response. Much of a value in parts may still be in the kernel's send buffer for a
-// server that hangs. It would arrive with a deadline that exceeds the client's remaining time, so the attempt is aborted if
-// data is unacknowledged when that deadline begins to be too long.
-func (c *conn) awaitResponse(a *attempt, passed deadline.AttemptDeadline) error {
+// awaitResponse waits for the first byte of the response. The request carries a deadline that was computed when it was written. If the
+// server hangs, much of a value in parts may still be in the kernel's send buffer, and would arrive when the sent deadline exceeds the
+// client's remaining time. That is the case after attemptDeadline.WriteBy(), so the attempt is aborted if data is unacknowledged then.
+func (c *conn) awaitResponse(a *attempt, attemptDeadline deadline.AttemptDeadline) error {
 	if len(a.request.Parts) == 0 {
 		return c.responses.Wait()
 	}
-	c.netConn.SetReadDeadline(passed.WriteBy())
+	c.netConn.SetReadDeadline(attemptDeadline.WriteBy()) // the read deadline serves as the timer of the acknowledgement
 	err := c.responses.Wait()
 	if !errors.Is(err, os.ErrDeadlineExceeded) {
 		c.netConn.SetReadDeadline(time.Time{})
@@ -240,8 +240,9 @@
 	return c.responses.Wait()
 }
 
-// failUnsent reports that nothing of an attempt was written. Its connection becomes idle.
-func (c *conn) failUnsent(a *attempt, err error) {
+// failUnwritten reports the failure of an attempt of which nothing was written. Its connection becomes idle if it is still open and
+// assigned to the attempt.
+func (c *conn) failUnwritten(a *attempt, err error) {
 	c.pool.mu.Lock()
 	if c.attempt == a && !c.closed {
 		c.makeIdle()
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -21,9 +21,9 @@
 
 // Protocol encodes requests and decodes responses.
 type Protocol interface {
-	// AppendRequest appends an encoded request to b, with the deadline that this attempt passes on. It omits a value in parts:
-	// the value belongs at valueOffset, which is 0 if there is none.
-	AppendRequest(b []byte, r *engine.Request, passed deadline.AttemptDeadline) (encoded []byte, valueOffset int)
+	// AppendRequest appends an encoded request to b, with the deadline of this attempt. It omits a value in parts: the
+	// caller inserts the value at valueOffset, which is 0 if there is none.
+	AppendRequest(b []byte, r *engine.Request, attemptDeadline deadline.AttemptDeadline) (encoded []byte, valueOffset int)
 	// NewResponseReader returns a reader for the responses of one connection.
 	NewResponseReader(r io.Reader) ResponseReader
 }
@@ -39,8 +39,8 @@
 	// ReadResponse reads one complete response. It must only be called after Wait has succeeded. keep reports whether the connection can
 	// carry another attempt.
 	ReadResponse(r *engine.Request) (res engine.Result, keep bool, err error)
-	// StreamValue writes the value that the last result announced by its body's size to w, and reads the response to its end. It
-	// returns an error before it closes w if the value is incomplete.
+	// StreamValue writes the value that the last result announced by its body's size to w, and reads the response to its end. If
+	// the value is incomplete, it returns an error and leaves w open.
 	StreamValue(w *io.PipeWriter) (keep bool, err error)
 	// Buffered returns the number of bytes that have been received and not consumed.
 	Buffered() int
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -326,11 +326,11 @@
 	panic("in the parser")
 }
 
-func (p panickingProtocol) AppendRequest(b []byte, r *engine.Request, passed deadline.AttemptDeadline) ([]byte, int) {
+func (p panickingProtocol) AppendRequest(b []byte, r *engine.Request, attemptDeadline deadline.AttemptDeadline) ([]byte, int) {
 	if p.writing {
 		panic("in the writer")
 	}
-	return p.Protocol.AppendRequest(b, r, passed)
+	return p.Protocol.AppendRequest(b, r, attemptDeadline)
 }
 
 func TestPanicStopsAtTheConnection(t *testing.T) {
--- a/internal/pool/send.go
+++ b/internal/pool/send.go
@@ -16,30 +16,30 @@
 // maxIdleBuffer is the largest write buffer in bytes that an idle connection retains.
 const maxIdleBuffer = 16 << 10
 
-// send writes a request. It computes the deadline that the attempt passes on immediately before the write, and aborts a write that
-// exceeds the margin subtracted from that deadline.
-func (c *conn) send(a *attempt) (passed deadline.AttemptDeadline, err error) {
+// send writes a request. Immediately before the write it computes the deadline that is sent to the server. A write that may block and takes
+// longer than the margin subtracted from that deadline fails.
+func (c *conn) send(a *attempt) (attemptDeadline deadline.AttemptDeadline, err error) {
 	r := a.request
 	if !r.Probe {
 		transfer := deadline.SingleWrite
 		if len(r.Parts) > 0 {
 			transfer = deadline.MultipleWrites
 		}
-		if passed, err = r.Deadline.ForAttempt(time.Now(), a.responseDeadline, transfer); err != nil {
-			return passed, err
+		if attemptDeadline, err = r.Deadline.ForAttempt(time.Now(), a.responseDeadline, transfer); err != nil {
+			return attemptDeadline, err
 		}
 	}
 	var valueOffset int
-	c.writeBuffer, valueOffset = c.pool.protocol.AppendRequest(c.writeBuffer[:0], r, passed)
+	c.writeBuffer, valueOffset = c.pool.protocol.AppendRequest(c.writeBuffer[:0], r, attemptDeadline)
 	if mayBlock := r.Size()+len(c.writeBuffer) > minSocketBuffer; mayBlock && !r.Probe {
-		c.netConn.SetWriteDeadline(passed.WriteBy())
+		c.netConn.SetWriteDeadline(attemptDeadline.WriteBy())
 		defer c.netConn.SetWriteDeadline(time.Time{})
 	}
 	err = c.write(r, valueOffset)
 	if cap(c.writeBuffer) > maxIdleBuffer {
 		c.writeBuffer = nil
 	}
-	return passed, err
+	return attemptDeadline, err
 }
 
 // write writes a request, inserting the parts of a long value at valueOffset; 0 means that there are none.
--- a/internal/pool/shared.go
+++ b/internal/pool/shared.go
@@ -49,8 +49,8 @@
 }
 
 // idleCutoff returns the earliest time since which a connection may have been idle and still be used. It keeps a tenth of the
-// idle timeout as a margin: CloseExpired may reach an older connection up to a second later, while the server is closing it, and an
-// attempt written at that moment counts as possibly executed.
+// idle timeout as a margin: CloseExpired may reach an older connection up to a second later, when the server is already closing it, and
+// an attempt written at that moment counts as possibly executed.
 func (s *Shared) idleCutoff(now time.Time) time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/resp/resp.go
+++ b/internal/resp/resp.go
@@ -16,7 +16,7 @@
 type Limits struct {
 	MaxElements   int  // of an array; at least one element is required
 	MaxBulkLength int  // of one bulk string, in bytes
-	AllowNull     bool // whether an element may be a null bulk string
+	AllowNull     bool // an element may be a null bulk string
 }
 
 // BulkTooLongError reports a bulk string that exceeds the limits. Everything before it is complete and valid.
@@ -83,7 +83,7 @@
 	return at, nil
 }
 
-// CheckBulk returns the length n of the bulk string at the start of b, in the way of CheckArray.
+// CheckBulk returns the length n of the bulk string at the start of b, like CheckArray.
 func (l Limits) CheckBulk(b []byte) (n int, err error) {
 	const header = "*1\r\n"
 	n, err = l.CheckArray(append([]byte(header), b...))
