--- a/cmd/mintlab/main.go
+++ b/cmd/mintlab/main.go
@@ -23,16 +23,16 @@
 
 // Exit statuses.
 const (
-	kept   = 0
-	broken = 1 // a rule, or a proxy crashed
-	wrong  = 2 // unusable input
-	void   = 3 // the run proves nothing
+	exitPassed    = 0
+	exitViolation = 1 // a rule, or a proxy crashed
+	exitBadInput  = 2 // unusable input
+	exitInvalid   = 3 // the run proves nothing
 )
 
 // status is an error that only says how to exit; what there is to say has been said.
-type status int
+type exitStatus int
 
-func (s status) Error() string { return fmt.Sprint("status ", int(s)) }
+func (s exitStatus) Error() string { return fmt.Sprint("status ", int(s)) }
 
 func main() {
 	root := &cobra.Command{Use: "mintlab", SilenceUsage: true, SilenceErrors: true,
@@ -47,14 +47,14 @@
     mintlab logs DIR                             what a fleet's proxies counted, summed by second
 
 Exit status: 0 rules kept, 1 a rule broken or a proxy crashed, 2 unusable input, 3 a run that proves nothing.`}
-	root.AddCommand(runCommand(), worldCommand(), checkCommand(), compareCommand(), showCommand(), judgeCommand(), soakCommand(), logsCommand(), worthCommand(), planCommand())
+	root.AddCommand(runCommand(), worldCommand(), checkCommand(), compareCommand(), reportCommand(), judgeCommand(), soakCommand(), logsCommand(), worthCommand(), planCommand())
 	if err := root.Execute(); err != nil {
-		var s status
+		var s exitStatus
 		if errors.As(err, &s) {
 			os.Exit(int(s))
 		}
 		fmt.Fprintln(os.Stderr, "mintlab:", err)
-		os.Exit(wrong)
+		os.Exit(exitBadInput)
 	}
 }
 
@@ -71,7 +71,7 @@
 				}
 			}
 			if bad {
-				return status(wrong)
+				return exitStatus(exitBadInput)
 			}
 			return nil
 		}}
@@ -81,13 +81,13 @@
 	var out, proxy, rules, sweep string
 	var seeds []uint
 	var repeat, drawn, drawnFrom int
-	var set []string
+	var overrides []string
 	var quiet bool
 	c := &cobra.Command{Use: "run FILE...", Short: "Plays experiments.", Args: cobra.MinimumNArgs(1),
 		Long: `Plays each experiment, for each rule, each value of the sweep and each seed. Each run leaves a directory
 with result.json, summary.txt, plots and report.html.`,
 		RunE: func(cmd *cobra.Command, paths []string) error {
-			stop := interrupted()
+			stop := stopOnSignal()
 			key, values, sweeps := strings.Cut(sweep, "=")
 			if sweep != "" && !sweeps {
 				return fmt.Errorf("--sweep %q: key=a,b,c is wanted", sweep)
@@ -106,7 +106,7 @@
 			var jobs []job
 			for _, path := range paths {
 				for _, variant := range variants {
-					overlay := slices.Clone(set)
+					overlay := slices.Clone(overrides)
 					if sweeps {
 						overlay = append(overlay, key+"="+variant)
 					}
@@ -138,14 +138,14 @@
 									}
 									last := &jobs[len(jobs)-1]
 									last.drawn = uint64(drawnFrom + k)
-									last.x.Draw(last.drawn)
+									last.x.DrawFaults(last.drawn)
 								}
 							}
 						}
 					}
 				}
 			}
-			worst := kept
+			worst := exitPassed
 			var all []*report.Result
 			for _, j := range jobs {
 				name := fmt.Sprintf("%s-%s-%d", j.x.Name, j.rule, j.seed)
@@ -163,34 +163,34 @@
 					o.Env = []string{"MINTBASE_RULE=" + j.rule}
 				}
 				if !quiet {
-					o.Say = func(format string, args ...any) { fmt.Fprintf(cmd.ErrOrStderr(), format+"\n", args...) }
+					o.Logf = func(format string, args ...any) { fmt.Fprintf(cmd.ErrOrStderr(), format+"\n", args...) }
 					fmt.Fprintf(cmd.ErrOrStderr(), "%s: %s, %v\n", j.path, name, j.x.Length.Std())
 				}
 				os.RemoveAll(o.Dir)
-				r, err := run.Play(j.x, o)
+				r, err := run.Execute(j.x, o)
 				if err != nil {
 					fmt.Fprintf(cmd.ErrOrStderr(), "%s: %v\n", name, err)
-					return status(void)
+					return exitStatus(exitInvalid)
 				}
 				all = append(all, r)
 				fmt.Fprintf(cmd.OutOrStdout(), "%sreport: %s\n\n", r.Summary(), filepath.Join(o.Dir, "report.html"))
-				if j.drawn > 0 && r.ExitStatus() == broken {
+				if j.drawn > 0 && r.ExitStatus() == exitViolation {
 					fmt.Fprintf(cmd.OutOrStdout(), "again: mintlab run %s --seeds %d --drawn 1 --drawn-from %d\n\n", j.path, j.seed, j.drawn)
 				}
-				if s := r.ExitStatus(); s == broken || s > worst && worst != broken {
+				if s := r.ExitStatus(); s == exitViolation || s > worst && worst != exitViolation {
 					worst = s
 				}
 				select {
 				case <-stop:
-					return status(void)
+					return exitStatus(exitInvalid)
 				default:
 				}
 			}
 			if len(all) > 1 {
 				fmt.Fprint(cmd.OutOrStdout(), report.Table(all))
 			}
-			if worst != kept {
-				return status(worst)
+			if worst != exitPassed {
+				return exitStatus(worst)
 			}
 			return nil
 		}}
@@ -200,7 +200,7 @@
 	c.Flags().UintSliceVar(&seeds, "seeds", nil, "seeds in place of the file's")
 	c.Flags().IntVar(&repeat, "repeat", 1, "runs for each seed, each with the next seed")
 	c.Flags().StringVar(&sweep, "sweep", "", "key=a,b,c: a run for each value, such as load.rate=500,1000")
-	c.Flags().StringArrayVar(&set, "set", nil, "key=value in place of what the file says; may be repeated")
+	c.Flags().StringArrayVar(&overrides, "set", nil, "key=value in place of what the file says; may be repeated")
 	c.Flags().IntVar(&drawn, "drawn", 0, "so many runs, each with a timeline drawn from a seed of its own in place of the file's")
 	c.Flags().IntVar(&drawnFrom, "drawn-from", 1, "the first of those seeds")
 	c.Flags().BoolVar(&quiet, "quiet", false, "no progress")
@@ -208,7 +208,7 @@
 }
 
 // interrupted closes what it gives when the lab is told to stop.
-func interrupted() <-chan struct{} {
+func stopOnSignal() <-chan struct{} {
 	stop := make(chan struct{})
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGINT, syscall.SIGTERM)
@@ -224,7 +224,7 @@
 			if err != nil {
 				return err
 			}
-			return run.Stand(x, dir, func(format string, args ...any) { fmt.Fprintf(cmd.OutOrStdout(), format+"\n", args...) }, interrupted())
+			return run.ServeStandIns(x, dir, func(format string, args ...any) { fmt.Fprintf(cmd.OutOrStdout(), format+"\n", args...) }, stopOnSignal())
 		}}
 	c.Flags().StringVar(&dir, "dir", "runs/world", "where the proxies' configurations are written")
 	return c
@@ -238,7 +238,7 @@
 		RunE: func(cmd *cobra.Command, paths []string) error {
 			x, err := experiment.Read(paths[0])
 			if err == nil && seen == "" {
-				fmt.Fprint(cmd.OutOrStdout(), run.Forecast(x))
+				fmt.Fprint(cmd.OutOrStdout(), run.PlanInput(x))
 			}
 			if err != nil || seen == "" {
 				return err
@@ -252,17 +252,17 @@
 				return err
 			}
 			defer in.Close()
-			return run.Seen(cmd.OutOrStdout(), x, in, r)
+			return run.ComparePlan(cmd.OutOrStdout(), x, in, r)
 		}}
 	c.Flags().StringVar(&seen, "seen", "", "a run's directory")
 	c.Flags().StringVar(&plans, "plans", "", "the plans' file")
 	return c
 }
 
-func showCommand() *cobra.Command {
+func reportCommand() *cobra.Command {
 	return &cobra.Command{Use: "report DIR...", Short: "Prints the summaries of runs, and a table of them.", Args: cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, dirs []string) error {
-			all, err := read(dirs)
+			all, err := readResults(dirs)
 			if err != nil {
 				return err
 			}
@@ -287,7 +287,7 @@
 				if _, err := os.Stat(filepath.Join(dirs[0], "result.json")); len(dirs) == 1 && err != nil {
 					dirs, _ = filepath.Glob(filepath.Join(dirs[0], "*"))
 				}
-				if both[i], err = read(dirs); err != nil {
+				if both[i], err = readResults(dirs); err != nil {
 					return err
 				}
 			}
@@ -311,13 +311,13 @@
 			r := report.Result{Name: x.Name, Seed: x.Seed, Rule: "ledger", Verdict: v}
 			fmt.Fprintf(cmd.OutOrStdout(), "%sjudged in %v; %d ops held at once; whole: %v\n", r.Summary(), time.Since(from).Round(time.Millisecond), v.MaxOpenOps, v.Complete)
 			if !v.Passed() {
-				return status(broken)
+				return exitStatus(exitViolation)
 			}
 			return nil
 		}}
 }
 
-func read(dirs []string) (all []*report.Result, err error) {
+func readResults(dirs []string) (all []*report.Result, err error) {
 	for _, d := range dirs {
 		r, err := report.Read(d)
 		if err != nil {
--- a/cmd/mintlab/soak.go
+++ b/cmd/mintlab/soak.go
@@ -23,8 +23,8 @@
 				all = append(all, from+n)
 			}
 			failed, void := 0, 0
-			fmt.Fprintln(cmd.OutOrStdout(), run.SoakHead)
-			run.Soak(all, length, lanes, run.Options{Dir: out, Command: []string{proxy}, Rule: "minttray", Stop: interrupted()}, func(r run.SoakRow) {
+			fmt.Fprintln(cmd.OutOrStdout(), run.SoakTableHeader)
+			run.Soak(all, length, lanes, run.Options{Dir: out, Command: []string{proxy}, Rule: "minttray", Stop: stopOnSignal()}, func(r run.SoakResult) {
 				fmt.Fprintln(cmd.OutOrStdout(), r)
 				if r.Failed() {
 					failed++
@@ -33,13 +33,13 @@
 					}
 					fmt.Fprintf(cmd.ErrOrStderr(), "again: mintlab soak --seeds 1 --from %d --length %v\n", r.Seed, length)
 				}
-				if r.Void() {
+				if r.Invalid() {
 					void++
 				}
 			})
 			fmt.Fprintf(cmd.OutOrStdout(), "\n%d seeds: %d failed, %d void\n", seeds, failed, void)
 			if failed > 0 {
-				return status(broken)
+				return exitStatus(exitViolation)
 			}
 			return nil
 		}}
--- a/lab/experiment/experiment.go
+++ b/lab/experiment/experiment.go
@@ -37,25 +37,25 @@
 
 // File is one experiment. Zero values stand for what Defaults says.
 type File struct {
-	Name     string     `toml:"name"`
-	About    string     `toml:"about"`
-	From     string     `toml:"from"` // another file, of the same directory, that this one changes; it has no From itself
-	Seed     uint64     `toml:"seed"`
-	Length   Duration       `toml:"length"`
-	WarmUp     Duration       `toml:"warm"` // at the start, not counted in the figures; rules count from the first op
-	Proxies  Proxies    `toml:"proxies"`
-	Caches   Caches     `toml:"caches"`
-	Origin   Origin     `toml:"origin"`
-	Zones    Zones      `toml:"zones"`
-	List     List       `toml:"list"`
+	Name       string     `toml:"name"`
+	About      string     `toml:"about"`
+	From       string     `toml:"from"` // another file, of the same directory, that this one changes; it has no From itself
+	Seed       uint64     `toml:"seed"`
+	Length     Duration   `toml:"length"`
+	WarmUp     Duration   `toml:"warm"` // at the start, not counted in the figures; rules count from the first op
+	Proxies    Proxies    `toml:"proxies"`
+	Caches     Caches     `toml:"caches"`
+	Origin     Origin     `toml:"origin"`
+	Zones      Zones      `toml:"zones"`
+	Discovery  Discovery  `toml:"list"`
 	Categories []Category `toml:"category"`
-	Tenants   []Tenant   `toml:"tenant"`
-	Keys     Keys       `toml:"keys"`
-	Load     Load       `toml:"load"`
-	Clients  Clients    `toml:"clients"`
-	Balancer    Front      `toml:"front"`
-	Rules    Rules      `toml:"rules"`
-	Faults    []Fault    `toml:"fault"`
+	Tenants    []Tenant   `toml:"tenant"`
+	Keys       Keys       `toml:"keys"`
+	Load       Load       `toml:"load"`
+	Clients    Clients    `toml:"clients"`
+	Balancer   Balancer   `toml:"front"`
+	Rules      Rules      `toml:"rules"`
+	Faults     []Fault    `toml:"fault"`
 
 	path  string
 	lines map[string]int
@@ -63,64 +63,64 @@
 
 // Proxies are the instances of minttray.
 type Proxies struct {
-	Count    int     `toml:"count"`
-	Cores    float64 `toml:"cores"`
-	MemoryMB int     `toml:"memory_mb"`
-	Sockets  int     `toml:"sockets"`
-	Learned  bool    `toml:"learned"` // what they learn outlives a restart
-	Doubt    float64 `toml:"doubt"`   // share of the caches that a list may not lack at once; 0: each is believed
+	Count        int     `toml:"count"`
+	Cores        float64 `toml:"cores"`
+	MemoryMB     int     `toml:"memory_mb"`
+	Sockets      int     `toml:"sockets"`
+	PersistState bool    `toml:"learned"` // what they learn outlives a restart
+	DoubtShare   float64 `toml:"doubt"`   // share of the caches that a list may not lack at once; 0: each is believed
 }
 
 // Caches are the cache servers, all alike but for their kind.
 type Caches struct {
-	Count       int     `toml:"count"`
-	Mode        string  `toml:"mode"` // aside: a miss goes back; through: the cache fetches
-	Cores       int     `toml:"cores"`
-	Queue       int     `toml:"queue"` // places to wait in
-	MemoryMB    float64 `toml:"memory_mb"`
-	Connections int     `toml:"connections"`
-	Handshake   Duration    `toml:"handshake"` // work of a new connection
-	ColdFrom    float64 `toml:"cold_from"` // share of its capacity that one has right after its start
-	WarmUp      Duration    `toml:"warm_up"`
-	Cancel      string  `toml:"cancel"` // what a push that is given up stops: all, queued, none
-	ReportEvery Duration    `toml:"report_every"`
-	Small       float64 `toml:"small"` // share of them that are of the kind "small": half the cores
-	Full        bool    `toml:"full"`  // hold the most asked keys at the start
+	Count             int      `toml:"count"`
+	Mode              string   `toml:"mode"` // aside: a miss goes back; through: the cache fetches
+	Cores             int      `toml:"cores"`
+	QueueLimit        int      `toml:"queue"` // places to wait in
+	MemoryMB          float64  `toml:"memory_mb"`
+	MaxConns          int      `toml:"connections"`
+	HandshakeWork     Duration `toml:"handshake"` // work of a new connection
+	ColdCapacityShare float64  `toml:"cold_from"` // share of its capacity that one has right after its start
+	WarmUp            Duration `toml:"warm_up"`
+	CancelMode        string   `toml:"cancel"` // what a push that is given up stops: all, queued, none
+	ReportEvery       Duration `toml:"report_every"`
+	SmallShare        float64  `toml:"small"` // share of them that are of the kind "small": half the cores
+	Prefilled         bool     `toml:"full"`  // hold the most asked keys at the start
 }
 
 // Origin is what all caches are filled from.
 type Origin struct {
-	Cores  int     `toml:"cores"`
-	Queue  int     `toml:"queue"`
-	Work   Duration    `toml:"work"`   // of a fetch, mean
-	Thrash float64 `toml:"thrash"` // slower by this share for each core's worth that waits
+	Cores         int      `toml:"cores"`
+	QueueLimit    int      `toml:"queue"`
+	Work          Duration `toml:"work"`   // of a fetch, mean
+	QueueSlowdown float64  `toml:"thrash"` // slower by this share for each core's worth that waits
 }
 
 // Zones are places with a delay between them.
 type Zones struct {
 	Names []string `toml:"names"`
-	Delay Duration     `toml:"delay"` // one way
+	Delay Duration `toml:"delay"` // one way
 }
 
 // List is how the list of caches reaches the proxies.
-type List struct {
-	Late  Duration `toml:"late"`
-	Every Duration `toml:"every"` // an agent takes news at most so often, all that has come by then together; 0: each by itself
+type Discovery struct {
+	Delay         Duration `toml:"late"`
+	BatchInterval Duration `toml:"every"` // an agent takes news at most so often, all that has come by then together; 0: each by itself
 }
 
 // Category is a kind of op.
 type Category struct {
-	Name    string  `toml:"name"`
-	Share   float64 `toml:"share"`
-	Work    Duration    `toml:"work"` // mean
-	Target  Duration    `toml:"target"`
-	TTL     Duration    `toml:"ttl"`
-	Benefit float64 `toml:"benefit"`
-	Effect  string  `toml:"effect"` // redeliverable, deduplicated, at-most-once
-	DedupGroup   string  `toml:"group"`  // of a deduplicated one: all, zone
-	DedupWindow  Duration    `toml:"window"`
-	Write   bool    `toml:"write"`
-	Size    int     `toml:"size"` // bytes of a value
+	Name        string   `toml:"name"`
+	Share       float64  `toml:"share"`
+	Work        Duration `toml:"work"` // mean
+	Target      Duration `toml:"target"`
+	TTL         Duration `toml:"ttl"`
+	Benefit     float64  `toml:"benefit"`
+	Effect      string   `toml:"effect"` // redeliverable, deduplicated, at-most-once
+	DedupGroup  string   `toml:"group"`  // of a deduplicated one: all, zone
+	DedupWindow Duration `toml:"window"`
+	Write       bool     `toml:"write"`
+	Size        int      `toml:"size"` // bytes of a value
 }
 
 // Tenant is whom ops come from.
@@ -132,73 +132,73 @@
 
 // Keys are what ops name.
 type Keys struct {
-	Count int     `toml:"count"`
-	ZipfExponent  float64 `toml:"zipf"`
+	Count          int     `toml:"count"`
+	ZipfExponent   float64 `toml:"zipf"`
 	DriftPerSecond float64 `toml:"drift"` // share of the ranks that go to other keys each second
 }
 
 // Load is the arrivals: Poisson, at a rate, with surges.
 type Load struct {
-	Rate  float64 `toml:"rate"`
+	Rate   float64 `toml:"rate"`
 	Surges []Surge `toml:"surge"`
 }
 
 // Surge multiplies the rate for a while.
 type Surge struct {
-	Start    Duration    `toml:"at"`
-	Duration   Duration    `toml:"for"`
-	Factor float64 `toml:"times"`
+	Start    Duration `toml:"at"`
+	Duration Duration `toml:"for"`
+	Factor   float64  `toml:"times"`
 }
 
 // Clients are how those who ask behave.
 type Clients struct {
-	Retries  int     `toml:"retries"`
-	RetryDelay     Duration    `toml:"wait"`     // before a try that comes again, without advice
-	TryTimeoutShare float64 `toml:"patience"` // share of the TTL after which a try is given up
-	LeaveShare    float64 `toml:"leave"`    // share of the tries whose client goes away early
-	RetryAfterShare     float64 `toml:"heed"`     // share of the clients that heed a come-back time
-	MarkRetries    bool    `toml:"marks"`
+	Retries         int      `toml:"retries"`
+	RetryDelay      Duration `toml:"wait"`     // before a try that comes again, without advice
+	TryTimeoutShare float64  `toml:"patience"` // share of the TTL after which a try is given up
+	LeaveShare      float64  `toml:"leave"`    // share of the tries whose client goes away early
+	RetryAfterShare float64  `toml:"heed"`     // share of the clients that heed a come-back time
+	MarkRetries     bool     `toml:"marks"`
 }
 
 // Front deals clients' connections to proxies, and goes on sending to a dead one for a while.
-type Front struct {
+type Balancer struct {
 	DetectionDelay Duration `toml:"notice"`
 }
 
 // Rules are the figures of the four rules.
 type Rules struct {
-	Grace        Duration    `toml:"grace"` // after the list said that a cache drains or has gone
-	FallMultiple float64 `toml:"fall_multiple"`
-	TipAfter     Duration    `toml:"tip_after"`
-	MostPushes   int     `toml:"most_pushes"`
-	TwoAtOnce    bool    `toml:"two_at_once"`
-	MaxRetryAfter  Duration    `toml:"max_come_back"`
-	Held         Duration    `toml:"held"`  // a refusal so long after the op's last push is held back; 0: half of its category's TTL
-	Slack        Duration    `toml:"slack"` // for the machine's own delays
+	DrainGrace            Duration `toml:"grace"` // after the list said that a cache drains or has gone
+	OverloadFactor        float64  `toml:"fall_multiple"`
+	OverloadWindow        Duration `toml:"tip_after"`
+	MaxPushes             int      `toml:"most_pushes"`
+	AllowConcurrentPushes bool     `toml:"two_at_once"`
+	MaxRetryAfter         Duration `toml:"max_come_back"`
+	MaxRefusalDelay       Duration `toml:"held"`  // a refusal so long after the op's last push is held back; 0: half of its category's TTL
+	Slack                 Duration `toml:"slack"` // for the machine's own delays
 }
 
 // Fault is one line of the timeline.
 type Fault struct {
-	Start    Duration    `toml:"at"`
-	Duration   Duration    `toml:"for"`
-	Kind  string  `toml:"kind"`
-	Count int     `toml:"count"`
-	Share float64 `toml:"share"`
-	Zone  string  `toml:"zone"`
-	Of    string  `toml:"of"` // a machine kind: std, small
-	Size  float64 `toml:"size"`
-	Batch float64 `toml:"batch"` // of a roll or deploy: share at a time
-	Down  Duration    `toml:"down"`
-	By    string  `toml:"by"`   // of waves: term, kill, upgrade, mixed; of signals: one of Signals
-	Name  string  `toml:"name"` // of a tenant
-	To    string  `toml:"to"`   // of a way: the other zone; empty: all others
-
-	Origin bool `toml:"origin"` // of a lost site: the origin stands there, and is gone with it
-	Anew   bool `toml:"anew"`   // its caches come back under new ids
+	Start       Duration `toml:"at"`
+	Duration    Duration `toml:"for"`
+	Kind        string   `toml:"kind"`
+	Count       int      `toml:"count"`
+	Share       float64  `toml:"share"`
+	Zone        string   `toml:"zone"`
+	MachineKind string   `toml:"of"` // a machine kind: std, small
+	Size        float64  `toml:"size"`
+	BatchShare  float64  `toml:"batch"` // of a roll or deploy: share at a time
+	Downtime    Duration `toml:"down"`
+	Mode        string   `toml:"by"`   // of waves: term, kill, upgrade, mixed; of signals: one of Signals
+	Name        string   `toml:"name"` // of a tenant
+	ToZone      string   `toml:"to"`   // of a way: the other zone; empty: all others
+
+	LosesOrigin bool `toml:"origin"` // of a lost site: the origin stands there, and is gone with it
+	NewIDs      bool `toml:"anew"`   // its caches come back under new ids
 }
 
 // Kinds are the faults there are, and what Size means for each.
-var Kinds = map[string]string{
+var FaultKinds = map[string]string{
 	"kill": "", "replace": "", "drain": "", "deploy": "", "still": "", "vanish": "", "reset": "",
 	"slow": "times slower", "refuse": "share turned away", "spoil": "share of answers spoilt",
 	"lose": "share of answers that never come", "error": "share of pushes that fail quickly", "flush": "share of kept copies",
@@ -210,11 +210,11 @@
 }
 
 // Signals are the series of signals that a proxy can be sent; each ends its process.
-var Signals = []string{"term-twice", "hup-in-drain", "hups", "kill-after-term"}
+var SignalSeries = []string{"term-twice", "hup-in-drain", "hups", "kill-after-term"}
 
 const (
-	longestDeadline = 3 * time.Second        // as far as it counts for the end of a process
-	killMargin      = 700 * time.Millisecond // past the longest deadline
+	maxCountedDeadline = 3 * time.Second        // as far as it counts for the end of a process
+	killMargin         = 700 * time.Millisecond // past the longest deadline
 )
 
 // KillAfter is how long after SIGTERM a process is killed at the earliest: the longest deadline of the deployment, and a margin.
@@ -223,27 +223,27 @@
 	for _, c := range f.Categories {
 		longest = max(longest, c.TTL.Std())
 	}
-	return min(longest, longestDeadline) + killMargin
+	return min(longest, maxCountedDeadline) + killMargin
 }
 
 // ZoneOf is the zone of a proxy, by its number.
-func (f *File) ZoneOf(proxy int) int { return proxy % len(f.Zones.Names) }
+func (f *File) ZoneOfProxy(proxy int) int { return proxy % len(f.Zones.Names) }
 
 // Zone is a zone's number by its name, -1 for none.
-func (f *File) Zone(name string) int { return slices.Index(f.Zones.Names, name) }
+func (f *File) ZoneIndex(name string) int { return slices.Index(f.Zones.Names, name) }
 
 // Cuts tells whether ways between processes break: only then does the lab stand between them.
-func (f *File) Cuts() bool {
+func (f *File) BreaksLinks() bool {
 	return slices.ContainsFunc(f.Faults, func(x Fault) bool {
-		return x.Kind == "site-cut" || x.Kind == "site-lost" && x.Origin || strings.HasPrefix(x.Kind, "way-")
+		return x.Kind == "site-cut" || x.Kind == "site-lost" && x.LosesOrigin || strings.HasPrefix(x.Kind, "way-")
 	})
 }
 
 // Operated tells whether operators call the proxies: else these are not told where to listen for that.
-func (f *File) Operated() bool {
+func (f *File) NeedsControl() bool {
 	return slices.ContainsFunc(f.Faults, func(x Fault) bool {
 		return x.Kind == "hand" || x.Kind == "site-hand" || x.Kind == "retune" || x.Kind == "proxy-upgrade" || x.Kind == "lameduck" ||
-			x.Kind == "proxy-waves" && (x.By == "upgrade" || x.By == "mixed")
+			x.Kind == "proxy-waves" && (x.Mode == "upgrade" || x.Mode == "mixed")
 	})
 }
 
@@ -265,11 +265,11 @@
 	}
 	if toml.Unmarshal(text, &head); head.From != "" { // what is wrong with the text is found below
 		base := filepath.Join(filepath.Dir(path), filepath.Base(head.From))
-		first, err := os.ReadFile(base)
+		baseText, err := os.ReadFile(base)
 		if err != nil {
 			return nil, fmt.Errorf("%s:%d: from: %w", path, f.lines["from"], err)
 		}
-		if err := strict.Decode(base, string(first), f); err != nil {
+		if err := strict.Decode(base, string(baseText), f); err != nil {
 			return nil, err
 		}
 		if f.From != "" {
@@ -279,24 +279,24 @@
 	if err := strict.Decode(path, string(text), f); err != nil {
 		return nil, err
 	}
-	for _, o := range overlay {
-		table, value, ok := strings.Cut(o, "=")
+	for _, assignment := range overlay {
+		table, value, ok := strings.Cut(assignment, "=")
 		if !ok {
-			return nil, fmt.Errorf("%s: no key=value", o)
+			return nil, fmt.Errorf("%s: no key=value", assignment)
 		}
 		line := value
 		if _, err := time.ParseDuration(value); err == nil && strings.Trim(value, "0123456789.") != "" {
 			line = fmt.Sprintf("%q", value)
 		}
-		at, key := "", table
+		tableHeader, key := "", table
 		if i := strings.LastIndexByte(table, '.'); i >= 0 {
-			at, key = "["+table[:i]+"]\n", table[i+1:]
+			tableHeader, key = "["+table[:i]+"]\n", table[i+1:]
 		}
-		if err := strict.Decode(o, at+key+" = "+line, f); err != nil {
+		if err := strict.Decode(assignment, tableHeader+key+" = "+line, f); err != nil {
 			return nil, err
 		}
 	}
-	f.fill()
+	f.applyDefaults()
 	if err := f.check(); err != nil {
 		return nil, err
 	}
--- a/lab/experiment/experiment_test.go
+++ b/lab/experiment/experiment_test.go
@@ -53,8 +53,8 @@
 			t.Fatal(err)
 		}
 		y := *x
-		x.Draw(seed)
-		y.Draw(seed)
+		x.DrawFaults(seed)
+		y.DrawFaults(seed)
 		if !reflect.DeepEqual(x.Faults, y.Faults) || len(x.Faults) < 2 {
 			t.Fatalf("%d: %+v and %+v", seed, x.Faults, y.Faults)
 		}
--- a/lab/faults/faults.go
+++ b/lab/faults/faults.go
@@ -15,20 +15,20 @@
 // Fleet is the proxies, as faults act on them.
 type Fleet interface {
 	Count() int
-	Kill(n int)                                              // SIGKILL
-	Term(n int)                                              // SIGTERM; it comes back by Start
-	Start(n int) error                                       // a new process at the same address
-	Signals(n int, series string)                            // one of experiment.Signals; it comes back by Start
-	Crowd(n, size int, span time.Duration)                   // idle connections of clients
-	Upgrade(n int) error                                     // a new process beside the old one, which then ends
-	Away(n int, away bool) error                             // an operator sends clients away, or has them taken again
-	Idle(n int) int                                          // clients' connections there with nothing out
-	Hand(n int, cache string, number uint32, out bool) error // an operator takes a cache out, or calls it back
+	Kill(n int)                                                          // SIGKILL
+	Terminate(n int)                                                     // SIGTERM; it comes back by Start
+	Start(n int) error                                                   // a new process at the same address
+	SendSignals(n int, series string)                                    // one of experiment.Signals; it comes back by Start
+	HoldIdleConns(n, size int, span time.Duration)                       // idle connections of clients
+	Upgrade(n int) error                                                 // a new process beside the old one, which then ends
+	SetLameduck(n int, away bool) error                                  // an operator sends clients away, or has them taken again
+	IdleConns(n int) int                                                 // clients' connections there with nothing out
+	SetCacheDetached(n int, cache string, number uint32, out bool) error // an operator takes a cache out, or calls it back
 	Agent(n int) *world.Agent
-	HandSite(n int, site string, caches []uint32, out bool, over time.Duration) error // an operator takes a site out, or calls it back
-	Retune(n int, quotas float64) error                                               // new settings by SIGHUP, taken
-	Stall(n int, still bool)                                                          // SIGSTOP, SIGCONT
-	Throttle(n int, share float64, span time.Duration)                                // the same in turns, excusing nothing
+	SetSiteDetached(n int, site string, caches []uint32, out bool, over time.Duration) error // an operator takes a site out, or calls it back
+	ReloadQuotas(n int, quotas float64) error                                                // new settings by SIGHUP, taken
+	SetStopped(n int, still bool)                                                            // SIGSTOP, SIGCONT
+	Throttle(n int, share float64, span time.Duration)                                       // the same in turns, excusing nothing
 }
 
 // Event is what was done, for plots and reports.
@@ -39,34 +39,34 @@
 
 // Player plays a timeline.
 type Player struct {
-	w      *world.World
-	fleet  Fleet
-	mu     sync.Mutex
-	events []Event
-	errs   []error
-	wait   sync.WaitGroup
-	stop   <-chan struct{}
-	from   time.Duration
-	busy   []sync.Mutex // by proxy: held while a fault ends its process and brings it back
+	world      *world.World
+	fleet      Fleet
+	mu         sync.Mutex
+	events     []Event
+	errs       []error
+	running    sync.WaitGroup
+	stop       <-chan struct{}
+	start      time.Duration
+	restarting []sync.Mutex // by proxy: held while a fault ends its process and brings it back
 }
 
 // New makes one; times count from a moment of the run's clock.
 func New(w *world.World, fleet Fleet, from time.Duration, stop <-chan struct{}) *Player {
-	return &Player{w: w, fleet: fleet, from: from, stop: stop, busy: make([]sync.Mutex, fleet.Count())}
+	return &Player{world: w, fleet: fleet, start: from, stop: stop, restarting: make([]sync.Mutex, fleet.Count())}
 }
 
 // Run plays all faults and returns when the last is over.
 func (p *Player) Run() {
-	for n, f := range p.w.Exp.Faults {
-		p.wait.Add(1)
+	for n, f := range p.world.Experiment.Faults {
+		p.running.Add(1)
 		go func() {
-			defer p.wait.Done()
-			if p.sleep(p.from + f.Start.Std() - p.w.Now()) {
-				p.play(uint64(n), f)
+			defer p.running.Done()
+			if p.sleep(p.start + f.Start.Std() - p.world.Now()) {
+				p.inject(uint64(n), f)
 			}
 		}()
 	}
-	p.wait.Wait()
+	p.running.Wait()
 }
 
 // Events are what was done; errors are what could not be.
@@ -88,13 +88,13 @@
 	}
 }
 
-func (p *Player) say(what string) {
+func (p *Player) recordEvent(description string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.events = append(p.events, Event{(p.w.Now() - p.from).Seconds(), what})
+	p.events = append(p.events, Event{(p.world.Now() - p.start).Seconds(), description})
 }
 
-func (p *Player) failed(err error) {
+func (p *Player) recordError(err error) {
 	if err != nil {
 		p.mu.Lock()
 		p.errs = append(p.errs, err)
@@ -103,298 +103,298 @@
 }
 
 // picked are the caches that a fault is about.
-func (p *Player) picked(n uint64, f experiment.Fault) []*world.Cache {
-	var some []*world.Cache
-	for _, c := range p.w.Caches() {
+func (p *Player) pickCaches(n uint64, f experiment.Fault) []*world.Cache {
+	var caches []*world.Cache
+	for _, c := range p.world.Caches() {
 		kind := "std"
 		if c.Small {
 			kind = "small"
 		}
-		if c.Alive() && (f.Zone == "" || p.w.Exp.Zones.Names[c.Zone] == f.Zone) && (f.Of == "" || f.Of == kind) {
-			some = append(some, c)
+		if c.Alive() && (f.Zone == "" || p.world.Experiment.Zones.Names[c.Zone] == f.Zone) && (f.MachineKind == "" || f.MachineKind == kind) {
+			caches = append(caches, c)
 		}
 	}
 	count, share := f.Count, f.Share
-	if count == 0 && share == 0 && (f.Zone != "" || f.Of != "") {
+	if count == 0 && share == 0 && (f.Zone != "" || f.MachineKind != "") {
 		share = 1
 	}
-	return world.Pick(p.w.Exp.Seed, n, some, count, share)
+	return world.Pick(p.world.Experiment.Seed, n, caches, count, share)
 }
 
 // set changes what is wrong with servers for the fault's span.
-func (p *Player) set(f experiment.Fault, of []*world.Faults, do func(*world.Faults, bool)) {
-	for _, x := range of {
-		x.Set(func(x *world.Faults) { do(x, true) })
+func (p *Player) applyForDuration(f experiment.Fault, targets []*world.Faults, change func(*world.Faults, bool)) {
+	for _, x := range targets {
+		x.Update(func(x *world.Faults) { change(x, true) })
 	}
 	if f.Duration > 0 {
 		p.sleep(f.Duration.Std())
-		for _, x := range of {
-			x.Set(func(x *world.Faults) { do(x, false) })
+		for _, x := range targets {
+			x.Update(func(x *world.Faults) { change(x, false) })
 		}
-		p.say(f.Kind + " is over")
+		p.recordEvent(f.Kind + " is over")
 	}
 }
 
-func (p *Player) play(n uint64, f experiment.Fault) {
-	p.say(f.Kind)
+func (p *Player) inject(n uint64, f experiment.Fault) {
+	p.recordEvent(f.Kind)
 	switch f.Kind {
 	case "hot-key", "runaway", "hot-proxy", "impatient": // the load's own
 		if f.Duration > 0 && p.sleep(f.Duration.Std()) {
-			p.say(f.Kind + " is over")
+			p.recordEvent(f.Kind + " is over")
 		}
 	case "grow":
 		for i := range int(f.Size) {
-			if _, err := p.w.Add(i%len(p.w.Exp.Zones.Names), true); err != nil {
-				p.failed(err)
+			if _, err := p.world.AddCache(i%len(p.world.Experiment.Zones.Names), true); err != nil {
+				p.recordError(err)
 			}
 		}
 	case "flush":
-		for _, c := range p.w.Caches() {
-			c.Flush(f.Size)
+		for _, c := range p.world.Caches() {
+			c.Invalidate(f.Size)
 		}
 	case "origin-slow":
-		p.set(f, []*world.Faults{&p.w.Origin.Fault}, func(x *world.Faults, on bool) { x.Slow = pick(on, f.Size) })
+		p.applyForDuration(f, []*world.Faults{&p.world.Origin.Faults}, func(target *world.Faults, on bool) { target.Slow = sizeIf(on, f.Size) })
 	case "origin-stop":
-		p.w.Origin.Stop(f.Duration.Std())
+		p.world.Origin.Pause(f.Duration.Std())
 	case "list-late", "list-silent", "list-empty":
 		for i := range p.fleet.Count() {
-			p.fleet.Agent(i).Set(f.Kind == "list-silent", f.Kind == "list-empty", time.Duration(f.Size*float64(time.Second)))
+			p.fleet.Agent(i).SetFault(f.Kind == "list-silent", f.Kind == "list-empty", time.Duration(f.Size*float64(time.Second)))
 		}
 		if f.Duration > 0 {
 			p.sleep(f.Duration.Std())
 			for i := range p.fleet.Count() {
-				p.fleet.Agent(i).Set(false, false, 0)
+				p.fleet.Agent(i).SetFault(false, false, 0)
 			}
-			p.say(f.Kind + " is over")
+			p.recordEvent(f.Kind + " is over")
 		}
 	case "site-lost":
-		p.siteLost(f)
+		p.loseSite(f)
 	case "retune":
-		for _, i := range p.some(n, f) {
-			p.failed(p.fleet.Retune(i, f.Size))
+		for _, i := range p.pickProxies(n, f) {
+			p.recordError(p.fleet.ReloadQuotas(i, f.Size))
 		}
 	case "site-hand":
-		p.siteHand(f)
+		p.detachSite(f)
 	case "site-cut", "way-slow", "way-lose", "way-reset", "way-thin":
-		p.ways(f)
+		p.breakLinks(f)
 	case "stall":
-		some := p.some(n, f)
-		for _, i := range some {
-			p.fleet.Stall(i, true)
+		proxies := p.pickProxies(n, f)
+		for _, i := range proxies {
+			p.fleet.SetStopped(i, true)
 		}
 		p.sleep(f.Duration.Std())
-		for _, i := range some {
-			p.fleet.Stall(i, false)
+		for _, i := range proxies {
+			p.fleet.SetStopped(i, false)
 		}
-		p.say(f.Kind + " is over")
+		p.recordEvent(f.Kind + " is over")
 	case "throttle":
-		var all sync.WaitGroup
-		for _, i := range p.some(n, f) {
-			all.Add(1)
+		var done sync.WaitGroup
+		for _, i := range p.pickProxies(n, f) {
+			done.Add(1)
 			go func() {
-				defer all.Done()
+				defer done.Done()
 				p.fleet.Throttle(i, f.Size, f.Duration.Std())
 			}()
 		}
-		all.Wait()
-		p.say(f.Kind + " is over")
+		done.Wait()
+		p.recordEvent(f.Kind + " is over")
 	case "list-lies":
 		hide := func(on bool) {
 			for i := range p.fleet.Count() {
-				p.fleet.Agent(i).Hide(p.w.Exp.Zone(f.Zone), on)
+				p.fleet.Agent(i).HideZone(p.world.Experiment.ZoneIndex(f.Zone), on)
 			}
 		}
 		if hide(true); f.Duration > 0 {
 			p.sleep(f.Duration.Std())
 			hide(false)
-			p.say(f.Kind + " is over")
+			p.recordEvent(f.Kind + " is over")
 		}
 	case "lameduck":
-		p.lameduck(n, f)
+		p.lameduckProxies(n, f)
 	case "hand":
-		p.hand(n, f)
+		p.detachCaches(n, f)
 	case "proxy-waves":
-		p.waves(f)
+		p.restartInWaves(f)
 	case "crowd":
-		p.crowd(n, f)
+		p.holdIdleConns(n, f)
 	case "proxy-kill", "proxy-term", "proxy-signals", "proxy-roll", "proxy-upgrade":
-		p.proxies(n, f)
+		p.restartProxies(n, f)
 	default:
-		p.caches(n, f)
+		p.injectCacheFault(n, f)
 	}
 }
 
 // some are the proxies that a fault is about: of a zone, all unless it says how many.
-func (p *Player) some(n uint64, f experiment.Fault) []int {
-	var all []int
+func (p *Player) pickProxies(n uint64, f experiment.Fault) []int {
+	var proxies []int
 	for i := range p.fleet.Count() {
-		if f.Zone == "" || p.w.Exp.Zones.Names[p.w.Exp.ZoneOf(i)] == f.Zone {
-			all = append(all, i)
+		if f.Zone == "" || p.world.Experiment.Zones.Names[p.world.Experiment.ZoneOfProxy(i)] == f.Zone {
+			proxies = append(proxies, i)
 		}
 	}
 	share := f.Share
 	if f.Zone != "" && f.Count == 0 && share == 0 {
 		share = 1
 	}
-	return world.Pick(p.w.Exp.Seed, n, all, f.Count, share)
+	return world.Pick(p.world.Experiment.Seed, n, proxies, f.Count, share)
 }
 
-func pick(on bool, size float64) float64 {
+func sizeIf(on bool, size float64) float64 {
 	if on {
 		return size
 	}
 	return 0
 }
 
-func (p *Player) caches(n uint64, f experiment.Fault) {
-	some := p.picked(n, f)
-	var of []*world.Faults
-	for _, c := range some {
-		of = append(of, &c.Fault)
+func (p *Player) injectCacheFault(n uint64, f experiment.Fault) {
+	caches := p.pickCaches(n, f)
+	var targets []*world.Faults
+	for _, c := range caches {
+		targets = append(targets, &c.Faults)
 	}
 	switch f.Kind {
 	case "kill":
-		for _, c := range some {
+		for _, c := range caches {
 			c.Kill()
 		}
 		if f.Duration > 0 && p.sleep(f.Duration.Std()) {
-			for _, c := range some {
-				p.failed(c.Restart())
+			for _, c := range caches {
+				p.recordError(c.Restart())
 			}
-			p.say("killed caches are back")
+			p.recordEvent("killed caches are back")
 		}
 	case "replace":
-		for _, c := range some {
+		for _, c := range caches {
 			c.Kill()
-			if p.sleep(f.Down.Std()) {
-				_, err := p.w.Replace(c)
-				p.failed(err)
+			if p.sleep(f.Downtime.Std()) {
+				_, err := p.world.Replace(c)
+				p.recordError(err)
 			}
 		}
 	case "drain":
-		for _, c := range some {
+		for _, c := range caches {
 			c.Drain()
 		}
 		if f.Duration > 0 && p.sleep(f.Duration.Std()) {
-			for _, c := range some {
+			for _, c := range caches {
 				c.Kill()
 			}
 		}
 	case "deploy": // waves: drain, end, a successor at the same address
-		batch := max(int(f.Batch*float64(len(p.w.Caches()))+0.5), 1)
-		for len(some) > 0 {
-			wave := some[:min(batch, len(some))]
-			some = some[len(wave):]
+		batch := max(int(f.BatchShare*float64(len(p.world.Caches()))+0.5), 1)
+		for len(caches) > 0 {
+			wave := caches[:min(batch, len(caches))]
+			caches = caches[len(wave):]
 			for _, c := range wave {
 				c.Drain()
 			}
-			if !p.sleep(f.Down.Std()) {
+			if !p.sleep(f.Downtime.Std()) {
 				return
 			}
 			for _, c := range wave {
 				c.Kill()
-				_, err := p.w.Replace(c)
-				p.failed(err)
+				_, err := p.world.Replace(c)
+				p.recordError(err)
 			}
-			if !p.sleep(f.Down.Std()) {
+			if !p.sleep(f.Downtime.Std()) {
 				return
 			}
 		}
-		p.say("deploy is over")
+		p.recordEvent("deploy is over")
 	case "still":
-		for _, c := range some {
-			c.Still(f.Duration.Std())
+		for _, c := range caches {
+			c.Pause(f.Duration.Std())
 		}
 	case "reset":
-		for _, c := range some {
-			c.Reset()
+		for _, c := range caches {
+			c.ResetConns()
 		}
 	case "vanish":
-		p.set(f, of, func(x *world.Faults, on bool) { x.Vanished = on })
+		p.applyForDuration(f, targets, func(target *world.Faults, on bool) { target.Unresponsive = on })
 	case "slow":
-		p.set(f, of, func(x *world.Faults, on bool) { x.Slow = pick(on, f.Size) })
+		p.applyForDuration(f, targets, func(target *world.Faults, on bool) { target.Slow = sizeIf(on, f.Size) })
 	case "refuse":
-		p.set(f, of, func(x *world.Faults, on bool) { x.Refuse = pick(on, f.Size) })
+		p.applyForDuration(f, targets, func(target *world.Faults, on bool) { target.Refuse = sizeIf(on, f.Size) })
 	case "spoil":
-		p.set(f, of, func(x *world.Faults, on bool) { x.Spoil = pick(on, f.Size) })
+		p.applyForDuration(f, targets, func(target *world.Faults, on bool) { target.Corrupt = sizeIf(on, f.Size) })
 	case "lose":
-		p.set(f, of, func(x *world.Faults, on bool) { x.Lose = pick(on, f.Size) })
+		p.applyForDuration(f, targets, func(target *world.Faults, on bool) { target.DropAnswer = sizeIf(on, f.Size) })
 	case "error":
-		p.set(f, of, func(x *world.Faults, on bool) { x.Failing = pick(on, f.Size) })
+		p.applyForDuration(f, targets, func(target *world.Faults, on bool) { target.Fail = sizeIf(on, f.Size) })
 	}
 }
 
-const gone = 4 * time.Second // from the call until no client is left
+const lameduckTimeout = 4 * time.Second // from the call until no client is left
 
 // lameduck has operators send clients away from some proxies, and take them again. Each of the call's promises that is not
 // kept is a failure of the run.
-func (p *Player) lameduck(n uint64, f experiment.Fault) {
-	some := p.some(n, f)
-	for _, i := range some {
-		p.failed(p.fleet.Away(i, true))
+func (p *Player) lameduckProxies(n uint64, f experiment.Fault) {
+	proxies := p.pickProxies(n, f)
+	for _, i := range proxies {
+		p.recordError(p.fleet.SetLameduck(i, true))
 	}
-	if p.sleep(min(f.Duration.Std(), gone)); f.Duration.Std() >= gone {
-		for _, i := range some {
-			if left := p.fleet.Idle(i); left > 0 {
-				p.failed(fmt.Errorf("proxy %d holds %d idle connections %v after clients were sent away", i, left, gone))
+	if p.sleep(min(f.Duration.Std(), lameduckTimeout)); f.Duration.Std() >= lameduckTimeout {
+		for _, i := range proxies {
+			if open := p.fleet.IdleConns(i); open > 0 {
+				p.recordError(fmt.Errorf("proxy %d holds %d idle connections %v after clients were sent away", i, open, lameduckTimeout))
 			}
 		}
 	}
-	p.sleep(f.Duration.Std() - gone)
-	for _, i := range some {
-		p.failed(p.fleet.Away(i, false))
+	p.sleep(f.Duration.Std() - lameduckTimeout)
+	for _, i := range proxies {
+		p.recordError(p.fleet.SetLameduck(i, false))
 	}
-	p.say(f.Kind + " is over")
+	p.recordEvent(f.Kind + " is over")
 }
 
 // hand has operators take caches out at every proxy, and call them back.
-func (p *Player) hand(n uint64, f experiment.Fault) {
-	some := p.picked(n, f)
-	call := func(out bool) {
-		for _, c := range some {
+func (p *Player) detachCaches(n uint64, f experiment.Fault) {
+	caches := p.pickCaches(n, f)
+	setDetached := func(detach bool) {
+		for _, c := range caches {
 			for i := range p.fleet.Count() {
-				p.failed(p.fleet.Hand(i, c.Name, c.Number, out))
+				p.recordError(p.fleet.SetCacheDetached(i, c.Name, c.Number, detach))
 			}
 		}
 	}
-	call(true)
+	setDetached(true)
 	p.sleep(f.Duration.Std())
-	call(false)
-	p.say(f.Kind + " is over")
+	setDetached(false)
+	p.recordEvent(f.Kind + " is over")
 }
 
 // waves restarts proxies round and round, a batch at a time, for a span; the next batch begins while the last is still down,
 // if it is for longer than the pause between two.
-func (p *Player) waves(f experiment.Fault) {
+func (p *Player) restartInWaves(f experiment.Fault) {
 	const pause = 1500 * time.Millisecond
-	n, batch := p.fleet.Count(), max(int(f.Batch*float64(p.fleet.Count())+0.5), 1)
-	ways := []string{"term", "kill", "upgrade"}
+	n, batch := p.fleet.Count(), max(int(f.BatchShare*float64(p.fleet.Count())+0.5), 1)
+	modes := []string{"term", "kill", "upgrade"}
 	var wait sync.WaitGroup
-	for at, until := 0, time.Now().Add(f.Duration.Std()); time.Now().Before(until); {
+	for next, deadline := 0, time.Now().Add(f.Duration.Std()); time.Now().Before(deadline); {
 		for range batch {
-			i, way := at%n, f.By
-			if way == "mixed" {
-				way = ways[(at+at/n)%len(ways)] // each proxy comes by each of them in its turns
+			i, mode := next%n, f.Mode
+			if mode == "mixed" {
+				mode = modes[(next+next/n)%len(modes)] // each proxy comes by each of them in its turns
 			}
-			at++
-			if !p.busy[i].TryLock() { // it is still on its way from its last turn
+			next++
+			if !p.restarting[i].TryLock() { // it is still on its way from its last turn
 				continue
 			}
 			wait.Add(1)
 			go func() {
 				defer wait.Done()
-				defer p.busy[i].Unlock()
-				switch way {
+				defer p.restarting[i].Unlock()
+				switch mode {
 				case "upgrade":
-					p.failed(p.fleet.Upgrade(i))
+					p.recordError(p.fleet.Upgrade(i))
 					return
 				case "kill":
 					p.fleet.Kill(i)
 				default:
-					p.fleet.Term(i)
+					p.fleet.Terminate(i)
 				}
-				if p.sleep(f.Down.Std()) {
-					p.failed(p.fleet.Start(i))
+				if p.sleep(f.Downtime.Std()) {
+					p.recordError(p.fleet.Start(i))
 				}
 			}()
 		}
@@ -403,35 +403,35 @@
 		}
 	}
 	wait.Wait()
-	p.say(f.Kind + " are over")
+	p.recordEvent(f.Kind + " are over")
 }
 
 // crowd has idle clients hold connections to some proxies.
-func (p *Player) crowd(n uint64, f experiment.Fault) {
-	var all sync.WaitGroup
-	for _, i := range p.some(n, f) {
-		all.Add(1)
+func (p *Player) holdIdleConns(n uint64, f experiment.Fault) {
+	var done sync.WaitGroup
+	for _, i := range p.pickProxies(n, f) {
+		done.Add(1)
 		go func() {
-			defer all.Done()
-			p.fleet.Crowd(i, int(f.Size), f.Duration.Std())
+			defer done.Done()
+			p.fleet.HoldIdleConns(i, int(f.Size), f.Duration.Std())
 		}()
 	}
-	all.Wait()
-	p.say(f.Kind + " is over")
+	done.Wait()
+	p.recordEvent(f.Kind + " is over")
 }
 
 // proxies ends some and brings them back, one batch after another.
-func (p *Player) proxies(n uint64, f experiment.Fault) {
-	some := p.some(n, f)
-	batch := len(some)
+func (p *Player) restartProxies(n uint64, f experiment.Fault) {
+	proxies := p.pickProxies(n, f)
+	batch := len(proxies)
 	if f.Kind == "proxy-roll" || f.Kind == "proxy-upgrade" {
-		batch = max(int(f.Batch*float64(p.fleet.Count())+0.5), 1)
+		batch = max(int(f.BatchShare*float64(p.fleet.Count())+0.5), 1)
 	}
-	for len(some) > 0 {
-		wave := some[:min(batch, len(some))]
-		some = some[len(wave):]
+	for len(proxies) > 0 {
+		wave := proxies[:min(batch, len(proxies))]
+		proxies = proxies[len(wave):]
 		// Danger: two faults that end one process would have the second's SIGKILL taken for the first's, and start it twice.
-		wave = slices.DeleteFunc(slices.Clone(wave), func(i int) bool { return !p.busy[i].TryLock() })
+		wave = slices.DeleteFunc(slices.Clone(wave), func(i int) bool { return !p.restarting[i].TryLock() })
 		var ended sync.WaitGroup
 		for _, i := range wave {
 			ended.Add(1)
@@ -441,25 +441,25 @@
 				case "proxy-kill":
 					p.fleet.Kill(i)
 				case "proxy-signals":
-					p.fleet.Signals(i, f.By)
+					p.fleet.SendSignals(i, f.Mode)
 				case "proxy-upgrade":
-					p.failed(p.fleet.Upgrade(i))
+					p.recordError(p.fleet.Upgrade(i))
 				default:
-					p.fleet.Term(i)
+					p.fleet.Terminate(i)
 				}
 			}()
 		}
 		ended.Wait()
-		goesOn := p.sleep(f.Down.Std())
+		notStopped := p.sleep(f.Downtime.Std())
 		for _, i := range wave {
-			if f.Kind != "proxy-upgrade" && goesOn {
-				p.failed(p.fleet.Start(i))
+			if f.Kind != "proxy-upgrade" && notStopped {
+				p.recordError(p.fleet.Start(i))
 			}
-			p.busy[i].Unlock()
+			p.restarting[i].Unlock()
 		}
-		if !goesOn {
+		if !notStopped {
 			return
 		}
 	}
-	p.say(f.Kind + " is over")
+	p.recordEvent(f.Kind + " is over")
 }
--- a/lab/faults/sites.go
+++ b/lab/faults/sites.go
@@ -12,11 +12,11 @@
 
 // siteLost takes a whole site away in one moment: its caches, its proxies and, if it stands there, the origin. They return in
 // the order that the fault says, the second kind a while after the first; the site's replica of the list may be late.
-func (p *Player) siteLost(f experiment.Fault) {
-	caches, proxies := p.picked(0, experiment.Fault{Zone: f.Zone}), p.some(0, experiment.Fault{Zone: f.Zone})
-	back := func() {}
-	if f.Origin {
-		back = p.breaks(ways.Rule{Near: p.w.OriginEnd(), Far: ways.Endpoint{Site: ways.Any}, Out: true, In: true, Cut: true})
+func (p *Player) loseSite(f experiment.Fault) {
+	caches, proxies := p.pickCaches(0, experiment.Fault{Zone: f.Zone}), p.pickProxies(0, experiment.Fault{Zone: f.Zone})
+	restoreLinks := func() {}
+	if f.LosesOrigin {
+		restoreLinks = p.addLinkRule(ways.Rule{Local: p.world.OriginEndpoint(), Remote: ways.Endpoint{Site: ways.AnySite}, Outbound: true, Inbound: true, Cut: true})
 	}
 	var ended sync.WaitGroup
 	for _, i := range proxies {
@@ -31,97 +31,99 @@
 	}
 	ended.Wait()
 	p.sleep(f.Duration.Std())
-	back()
+	restoreLinks()
 	if f.Share > 0 { // so many of its caches return
-		caches = world.Pick(p.w.Exp.Seed, 0, caches, 0, f.Share)
+		caches = world.Pick(p.world.Experiment.Seed, 0, caches, 0, f.Share)
 	}
 	for _, i := range proxies {
-		p.fleet.Agent(i).Set(false, false, time.Duration(f.Size*float64(time.Second)))
+		p.fleet.Agent(i).SetFault(false, false, time.Duration(f.Size*float64(time.Second)))
 	}
-	power := []func(){func() {
+	restart := []func(){func() {
 		for _, c := range caches {
-			if f.Anew {
-				_, err := p.w.Replace(c)
-				p.failed(err)
+			if f.NewIDs {
+				_, err := p.world.Replace(c)
+				p.recordError(err)
 			} else {
-				p.failed(c.Restart())
+				p.recordError(c.Restart())
 			}
 		}
 	}, func() {
-		var up sync.WaitGroup
+		var started sync.WaitGroup
 		for _, i := range proxies {
-			up.Add(1)
+			started.Add(1)
 			go func() {
-				defer up.Done()
-				p.failed(p.fleet.Start(i))
+				defer started.Done()
+				p.recordError(p.fleet.Start(i))
 			}()
 		}
-		up.Wait()
+		started.Wait()
 	}}
-	if f.By == "proxies" {
-		power[0], power[1] = power[1], power[0]
+	if f.Mode == "proxies" {
+		restart[0], restart[1] = restart[1], restart[0]
 	}
-	power[0]()
-	p.say(f.Kind + ", the first are back")
-	if f.By != "together" {
-		p.sleep(f.Down.Std())
+	restart[0]()
+	p.recordEvent(f.Kind + ", the first are back")
+	if f.Mode != "together" {
+		p.sleep(f.Downtime.Std())
 	}
-	power[1]()
+	restart[1]()
 	for _, i := range proxies {
-		p.fleet.Agent(i).Set(false, false, 0)
+		p.fleet.Agent(i).SetFault(false, false, 0)
 	}
-	p.say(f.Kind + " is over")
+	p.recordEvent(f.Kind + " is over")
 }
 
 // breaks puts a rule, and books that ways are broken until it is over.
-func (p *Player) breaks(r ways.Rule) (end func()) {
-	book := func(on uint32) { p.w.Book.Append(ledger.Record{Kind: ledger.LinkFault, At: p.w.Now(), C: on}) }
-	book(1)
-	over := p.w.Ways.Put(r)
+func (p *Player) addLinkRule(r ways.Rule) (remove func()) {
+	record := func(on uint32) {
+		p.world.Ledger.Append(ledger.Record{Kind: ledger.LinkFault, At: p.world.Now(), C: on})
+	}
+	record(1)
+	removeRule := p.world.Links.Add(r)
 	return func() {
-		over()
-		book(0)
+		removeRule()
+		record(0)
 	}
 }
 
 // ways breaks what is between a zone and another, or all others, in the direction that the fault says.
-func (p *Player) ways(f experiment.Fault) {
-	x := p.w.Exp
-	r := ways.Rule{Near: ways.Endpoint{Site: x.Zone(f.Zone)}, Others: f.To == "", Far: ways.Endpoint{Site: x.Zone(f.To)},
-		Out: f.By != "in", In: f.By != "out"}
+func (p *Player) breakLinks(f experiment.Fault) {
+	exp := p.world.Experiment
+	r := ways.Rule{Local: ways.Endpoint{Site: exp.ZoneIndex(f.Zone)}, OtherSites: f.ToZone == "", Remote: ways.Endpoint{Site: exp.ZoneIndex(f.ToZone)},
+		Outbound: f.Mode != "in", Inbound: f.Mode != "out"}
 	switch f.Kind {
 	case "site-cut":
 		r.Cut = true
 	case "way-slow":
 		r.Delay = time.Duration(f.Size * float64(time.Second))
 	case "way-lose":
-		r.Lose = f.Size
+		r.SilentShare = f.Size
 	case "way-reset":
-		r.Reset = f.Size
+		r.ResetShare = f.Size
 	case "way-thin":
-		r.Rate = f.Size * 1024
+		r.BytesPerSecond = f.Size * 1024
 	}
-	end := p.breaks(r)
+	restoreLinks := p.addLinkRule(r)
 	if f.Duration > 0 {
 		p.sleep(f.Duration.Std())
-		end()
-		p.say(f.Kind + " is over")
+		restoreLinks()
+		p.recordEvent(f.Kind + " is over")
 	}
 }
 
 // siteHand has operators take a site out at every proxy, over a span, and call it back over the same.
-func (p *Player) siteHand(f experiment.Fault) {
+func (p *Player) detachSite(f experiment.Fault) {
 	var numbers []uint32
-	for _, c := range p.picked(0, experiment.Fault{Zone: f.Zone}) {
+	for _, c := range p.pickCaches(0, experiment.Fault{Zone: f.Zone}) {
 		numbers = append(numbers, c.Number)
 	}
-	for _, out := range []bool{true, false} {
+	for _, detach := range []bool{true, false} {
 		for i := range p.fleet.Count() {
-			p.failed(p.fleet.HandSite(i, f.Zone, numbers, out, f.Down.Std()))
+			p.recordError(p.fleet.SetSiteDetached(i, f.Zone, numbers, detach, f.Downtime.Std()))
 		}
-		if out {
+		if detach {
 			p.sleep(f.Duration.Std())
 		}
 	}
-	p.say(f.Kind + " is over")
+	p.recordEvent(f.Kind + " is over")
 }
--- a/lab/run/run.go
+++ b/lab/run/run.go
@@ -23,170 +23,170 @@
 	Command []string // a proxy's program
 	Env     []string
 	Rule    string // what decides in it, for the report
-	Say     func(format string, args ...any)
+	Logf    func(format string, args ...any)
 	Stop    <-chan struct{}
 }
 
 const (
-	lateBound  = 5 * time.Millisecond // of the lab itself
-	lateShare  = 0.95                 // of the ops that must be sent within that
-	settleTime = 300 * time.Millisecond
+	maxSendDelay     = 5 * time.Millisecond // of the lab itself
+	minPunctualShare = 0.95                 // of the ops that must be sent within that
+	settleTime       = 300 * time.Millisecond
 )
 
 // Play plays an experiment. An error means that there is nothing to judge; a run that proves nothing has its reasons
 // under Void.
-func Play(x *experiment.File, o Options) (*report.Result, error) {
-	if err := os.MkdirAll(o.Dir, 0o755); err != nil {
+func Execute(exp *experiment.File, options Options) (*report.Result, error) {
+	if err := os.MkdirAll(options.Dir, 0o755); err != nil {
 		return nil, err
 	}
-	path := filepath.Join(o.Dir, "ledger.bin")
-	book, err := ledger.Create(path)
+	path := filepath.Join(options.Dir, "ledger.bin")
+	writer, err := ledger.Create(path)
 	if err != nil {
 		return nil, err
 	}
-	w, err := world.New(x, book)
+	w, err := world.New(exp, writer)
 	if err != nil {
-		book.Close()
+		writer.Close()
 		return nil, err
 	}
 	defer w.Close()
-	fill(x, w)
-	f, err := newFleet(x, w, o.Dir, o.Command, o.Env)
-	defer f.stop()
+	prefillCaches(exp, w)
+	proxies, err := newFleet(exp, w, options.Dir, options.Command, options.Env)
+	defer proxies.stopAll()
 	if err != nil {
 		return nil, err
 	}
 	time.Sleep(settleTime)
-	meter := measure.NewMeter(x)
-	front := load.NewBalancer(x, f.proxies)
-	front.Links = w.Ways
-	l := load.NewGenerator(x, front, book, meter, w.Start())
-	from := w.Now()
-	player := faults.New(w, f, from, o.Stop)
-	played := make(chan struct{})
-	go func() { player.Run(); close(played) }()
-	sampled := make(chan struct{})
-	ended := make(chan struct{})
+	meter := measure.NewMeter(exp)
+	balancer := load.NewBalancer(exp, proxies.proxies)
+	balancer.Links = w.Links
+	generator := load.NewGenerator(exp, balancer, writer, meter, w.Start())
+	start := w.Now()
+	player := faults.New(w, proxies, start, options.Stop)
+	faultsDone := make(chan struct{})
+	go func() { player.Run(); close(faultsDone) }()
+	samplerDone := make(chan struct{})
+	loadDone := make(chan struct{})
 	var peak measure.Usage
 	go func() {
-		peak = sample(x, w, f, front, meter, from, ended, o.Say)
-		close(sampled)
+		peak = sampleEverySecond(exp, w, proxies, balancer, meter, start, loadDone, options.Logf)
+		close(samplerDone)
 	}()
-	l.Run(from, o.Stop)
-	close(ended)
-	<-sampled
-	cut := false
+	generator.Run(start, options.Stop)
+	close(loadDone)
+	<-samplerDone
+	interrupted := false
 	select {
-	case <-o.Stop:
-		cut = true
+	case <-options.Stop:
+		interrupted = true
 	default:
 	}
-	if cut {
-		<-played
+	if interrupted {
+		<-faultsDone
 	} else {
 		select {
-		case <-played:
-		case <-time.After(longestStop + x.Length.Std()):
+		case <-faultsDone:
+		case <-time.After(stopTimeout + exp.Length.Std()):
 		}
 	}
-	vars := f.vars()
-	f.stop()
-	if !cut {
-		book.Append(ledger.Record{Kind: ledger.RunFinished, At: w.Now()})
+	counters := proxies.counters()
+	proxies.stopAll()
+	if !interrupted {
+		writer.Append(ledger.Record{Kind: ledger.RunFinished, At: w.Now()})
 	}
 	w.Close()
-	records, err := book.Close()
-	r := &report.Result{Name: x.Name, About: x.About, Seed: x.Seed, Rule: o.Rule, Stats: meter.Summarize(), LedgerRecords: records, PeakUsage: peak,
-		LengthSeconds: x.Length.Std().Seconds(), WarmUpSeconds: x.WarmUp.Std().Seconds(), ClientConnsOpened: front.ConnsOpened.Load(), ProxyCounters: vars, ClientConnsRefused: front.ConnsRefused.Load(), OriginFetches: w.Origin.Fetches.Load(), ListBytes: w.Reg.Bytes.Load()}
+	records, err := writer.Close()
+	result := &report.Result{Name: exp.Name, About: exp.About, Seed: exp.Seed, Rule: options.Rule, Stats: meter.Summarize(), LedgerRecords: records, PeakUsage: peak,
+		LengthSeconds: exp.Length.Std().Seconds(), WarmUpSeconds: exp.WarmUp.Std().Seconds(), ClientConnsOpened: balancer.ConnsOpened.Load(), ProxyCounters: counters, ClientConnsRefused: balancer.ConnsRefused.Load(), OriginFetches: w.Origin.Fetches.Load(), ListBytes: w.Registry.BytesSent.Load()}
 	if err != nil {
-		r.InvalidReasons = append(r.InvalidReasons, "the ledger's disk: "+err.Error())
+		result.InvalidReasons = append(result.InvalidReasons, "the ledger's disk: "+err.Error())
 	}
-	if cut {
-		r.InvalidReasons = append(r.InvalidReasons, "interrupted")
+	if interrupted {
+		result.InvalidReasons = append(result.InvalidReasons, "interrupted")
 	}
 	for _, c := range w.Caches() {
-		r.CacheConnsRefused += c.Refused.Load()
+		result.CacheConnsRefused += c.RefusedConns.Load()
 	}
 	events, errs := player.Events()
-	r.Events = events
+	result.Events = events
 	for _, e := range errs {
-		r.InvalidReasons = append(r.InvalidReasons, "a fault could not be played: "+e.Error())
+		result.InvalidReasons = append(result.InvalidReasons, "a fault could not be played: "+e.Error())
 	}
-	r.Crashes = f.faults()
-	if r.Stats.SentWithin5ms < lateShare {
-		r.InvalidReasons = append(r.InvalidReasons, fmt.Sprintf("the lab ran late: %.1f%% of the ops were sent within %v of their time, %.0f%% are wanted",
-			100*r.Stats.SentWithin5ms, lateBound, 100*lateShare))
+	result.Crashes = proxies.crashReports()
+	if result.Stats.SentWithin5ms < minPunctualShare {
+		result.InvalidReasons = append(result.InvalidReasons, fmt.Sprintf("the lab ran late: %.1f%% of the ops were sent within %v of their time, %.0f%% are wanted",
+			100*result.Stats.SentWithin5ms, maxSendDelay, 100*minPunctualShare))
 	}
-	if r.StandInLateShare = w.Stalled(); r.StandInLateShare > 1-lateShare {
-		r.InvalidReasons = append(r.InvalidReasons, fmt.Sprintf("stand-ins stalled: %.1f%% of their work ended over %v late", 100*r.StandInLateShare, lateBound))
+	if result.StandInLateShare = w.LateWorkShare(); result.StandInLateShare > 1-minPunctualShare {
+		result.InvalidReasons = append(result.InvalidReasons, fmt.Sprintf("stand-ins stalled: %.1f%% of their work ended over %v late", 100*result.StandInLateShare, maxSendDelay))
 	}
-	if r.Stats.UnsentOps > 0 {
-		r.InvalidReasons = append(r.InvalidReasons, fmt.Sprintf("%d ops could not be sent: too many were out", r.Stats.UnsentOps))
+	if result.Stats.UnsentOps > 0 {
+		result.InvalidReasons = append(result.InvalidReasons, fmt.Sprintf("%d ops could not be sent: too many were out", result.Stats.UnsentOps))
 	}
-	if r.Verdict, err = Judge(path, x, w.Zones()); err != nil {
-		return r, err
+	if result.Verdict, err = Judge(path, exp, w.Zones()); err != nil {
+		return result, err
 	}
-	return r, r.Write(o.Dir)
+	return result, result.Write(options.Dir)
 }
 
 // Judge reads a ledger and gives the verdict on the rules.
-func Judge(path string, x *experiment.File, zones map[uint32]int) (*ledger.Verdict, error) {
+func Judge(path string, exp *experiment.File, zones map[uint32]int) (*ledger.Verdict, error) {
 	in, err := os.Open(path)
 	if err != nil {
 		return nil, err
 	}
 	defer in.Close()
-	t := ledger.RuleParams{ServerZone: zones, DrainGrace: x.Rules.Grace.Std(), OverloadFactor: x.Rules.FallMultiple, OverloadWindow: x.Rules.TipAfter.Std(),
-		ColdCapacityShare: x.Caches.ColdFrom, WarmUp: x.Caches.WarmUp.Std(), MaxPushes: x.Rules.MostPushes, AllowConcurrentPushes: x.Rules.TwoAtOnce,
-		Slack: x.Rules.Slack.Std()}
-	for _, c := range x.Categories {
-		held := x.Rules.Held.Std()
-		if held == 0 {
-			held = c.TTL.Std() / 2
+	params := ledger.RuleParams{ServerZone: zones, DrainGrace: exp.Rules.DrainGrace.Std(), OverloadFactor: exp.Rules.OverloadFactor, OverloadWindow: exp.Rules.OverloadWindow.Std(),
+		ColdCapacityShare: exp.Caches.ColdCapacityShare, WarmUp: exp.Caches.WarmUp.Std(), MaxPushes: exp.Rules.MaxPushes, AllowConcurrentPushes: exp.Rules.AllowConcurrentPushes,
+		Slack: exp.Rules.Slack.Std()}
+	for _, c := range exp.Categories {
+		maxRefusalDelay := exp.Rules.MaxRefusalDelay.Std()
+		if maxRefusalDelay == 0 {
+			maxRefusalDelay = c.TTL.Std() / 2
 		}
-		t.Categories = append(t.Categories, ledger.Category{TTL: c.TTL.Std(), DedupWindow: c.DedupWindow.Std(), Effect: c.Effect, ZoneScopedDedup: c.DedupGroup == "zone",
-			MaxRefusalDelay: held})
+		params.Categories = append(params.Categories, ledger.Category{TTL: c.TTL.Std(), DedupWindow: c.DedupWindow.Std(), Effect: c.Effect, ZoneScopedDedup: c.DedupGroup == "zone",
+			MaxRefusalDelay: maxRefusalDelay})
 	}
-	j := ledger.NewJudge(t)
-	if err := ledger.Read(in, j.Add); err != nil {
+	judge := ledger.NewJudge(params)
+	if err := ledger.Read(in, judge.Add); err != nil {
 		return nil, err
 	}
-	return j.Finish(), nil
+	return judge.Finish(), nil
 }
 
 // fill lets every cache hold the most asked keys, as many as it has room for. Which of them a proxy would ask for a
 // key is not known here: the rest comes in the run's first seconds.
-func fill(x *experiment.File, w *world.World) {
-	if !x.Caches.Full {
+func prefillCaches(exp *experiment.File, w *world.World) {
+	if !exp.Caches.Prefilled {
 		return
 	}
 	size := 0
-	for _, c := range x.Categories {
+	for _, c := range exp.Categories {
 		size = max(size, c.Size)
 	}
-	room := int(x.Caches.MemoryMB * (1 << 20) / float64(size))
+	keysPerCache := int(exp.Caches.MemoryMB * (1 << 20) / float64(size))
 	for _, c := range w.Caches() {
-		for rank := min(room, x.Keys.Count) - 1; rank >= 0; rank-- {
-			c.Fill(fmt.Sprintf("%016x", load.KeyOf(x, uint64(rank), 0)), size)
+		for rank := min(keysPerCache, exp.Keys.Count) - 1; rank >= 0; rank-- {
+			c.Prefill(fmt.Sprintf("%016x", load.KeyOf(exp, uint64(rank), 0)), size)
 		}
 	}
 }
 
 // sample takes figures each second.
-func sample(x *experiment.File, w *world.World, f *fleet, front *load.Balancer, m *measure.Meter, from time.Duration,
-	ended <-chan struct{}, say func(string, ...any)) (peak measure.Usage) {
-	clock := time.NewTicker(time.Second)
-	defer clock.Stop()
-	fetches, opened, last := w.Origin.Fetches.Load(), front.ConnsOpened.Load(), f.use()
+func sampleEverySecond(exp *experiment.File, w *world.World, proxies *fleet, front *load.Balancer, meter *measure.Meter, start time.Duration,
+	ended <-chan struct{}, logf func(string, ...any)) (peak measure.Usage) {
+	ticker := time.NewTicker(time.Second)
+	defer ticker.Stop()
+	fetches, opened, last := w.Origin.Fetches.Load(), front.ConnsOpened.Load(), proxies.processUsage()
 	for {
 		select {
 		case <-ended:
 			return peak
-		case <-clock.C:
+		case <-ticker.C:
 		}
-		at := w.Now() - from - time.Second/2
+		elapsed := w.Now() - start - time.Second/2
 		cpu, memory, conns, waiting := 0.0, 0.0, 0, 0
-		now := f.use()
+		now := proxies.processUsage()
 		for i, u := range now {
 			if u.CPU >= last[i].CPU {
 				cpu += u.CPU - last[i].CPU
@@ -199,17 +199,17 @@
 		peak.CPU += cpu
 		for _, c := range w.Caches() {
 			conns += c.Connections()
-			waiting += c.Waiting()
+			waiting += c.QueuedRequests()
 		}
-		nf, no := w.Origin.Fetches.Load(), front.ConnsOpened.Load()
-		m.UpdateSecond(at, func(s *measure.Second) {
-			s.Fetches, s.ConnsOpened, s.Conns, s.QueuedRequests, s.CPU, s.MemoryMB = nf-fetches, no-opened, conns, waiting, cpu, memory
+		fetchesNow, openedNow := w.Origin.Fetches.Load(), front.ConnsOpened.Load()
+		meter.UpdateSecond(elapsed, func(s *measure.Second) {
+			s.Fetches, s.ConnsOpened, s.Conns, s.QueuedRequests, s.CPU, s.MemoryMB = fetchesNow-fetches, openedNow-opened, conns, waiting, cpu, memory
 		})
-		if say != nil {
-			ops, service := m.RecentService(at)
-			say("%3.0f s  %5d ops  %5.1f%% in time  %4d fetches  %4d connections  %.2f cores", at.Seconds()+0.5, ops, 100*service,
-				nf-fetches, conns, cpu)
+		if logf != nil {
+			ops, service := meter.RecentService(elapsed)
+			logf("%3.0f s  %5d ops  %5.1f%% in time  %4d fetches  %4d connections  %.2f cores", elapsed.Seconds()+0.5, ops, 100*service,
+				fetchesNow-fetches, conns, cpu)
 		}
-		fetches, opened = nf, no
+		fetches, opened = fetchesNow, openedNow
 	}
 }
--- a/lab/run/run_test.go
+++ b/lab/run/run_test.go
@@ -15,9 +15,9 @@
 )
 
 // build puts a program of this repository where a test can start it.
-func build(t *testing.T, what string) string {
-	path := filepath.Join(t.TempDir(), what)
-	if out, err := exec.Command("go", "build", "-o", path, "minttray/cmd/"+what).CombinedOutput(); err != nil {
+func buildProgram(t *testing.T, name string) string {
+	path := filepath.Join(t.TempDir(), name)
+	if out, err := exec.Command("go", "build", "-o", path, "minttray/cmd/"+name).CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, out)
 	}
 	return path
@@ -25,20 +25,20 @@
 
 // Experiments that run beside each other at most: each takes most of a core, and a lab without a core runs late.
 var (
-	lanes = make(chan struct{}, max(1, runtime.GOMAXPROCS(0)/2))
-	alone sync.RWMutex
+	slots     = make(chan struct{}, max(1, runtime.GOMAXPROCS(0)/2))
+	exclusive sync.RWMutex
 )
 
 // played plays an experiment to its verdict. Where the lab itself ran late its ledger shows nothing, neither a rule that broke nor
 // one that was kept: such a run is never a pass. It is played again with no other beside it, twice at most, and fails then.
-func played(t *testing.T, x *experiment.File, o Options) (r *report.Result, dir string) {
+func executeValid(t *testing.T, x *experiment.File, o Options) (r *report.Result, dir string) {
 	t.Helper()
 	o.Stop = make(chan struct{})
 	play := func() (late bool) {
 		dir = t.TempDir()
 		o.Dir = dir
 		var err error
-		if r, err = Play(x, o); err != nil {
+		if r, err = Execute(x, o); err != nil {
 			t.Fatal(err)
 		}
 		for _, why := range r.InvalidReasons {
@@ -51,16 +51,16 @@
 		return late
 	}
 	late := func() bool {
-		lanes <- struct{}{}
-		alone.RLock()
-		defer func() { alone.RUnlock(); <-lanes }()
+		slots <- struct{}{}
+		exclusive.RLock()
+		defer func() { exclusive.RUnlock(); <-slots }()
 		return play()
 	}()
 	for again := 0; late && again < 2; again++ {
 		t.Logf("proves nothing, played again alone: %s", r.Summary())
 		late = func() bool {
-			alone.Lock()
-			defer alone.Unlock()
+			exclusive.Lock()
+			defer exclusive.Unlock()
 			return play()
 		}()
 	}
@@ -77,7 +77,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, dir := played(t, x, Options{Command: []string{build(t, "minttray")}, Rule: "minttray"})
+	r, dir := executeValid(t, x, Options{Command: []string{buildProgram(t, "minttray")}, Rule: "minttray"})
 	v := r.Verdict
 	if !v.Passed() || !v.Complete || len(r.Crashes) > 0 || v.Answers["acked"] < 100 || v.Pushes < v.Answers["acked"] {
 		t.Errorf("%s", r.Summary())
@@ -107,13 +107,13 @@
 // refused rather than pushed. Counts alone; how much is served hangs on the machine.
 func TestShortages(t *testing.T) {
 	t.Parallel()
-	daemon := build(t, "minttray")
+	daemon := buildProgram(t, "minttray")
 	for _, name := range []string{"all-slow-short", "origin-short-short"} {
 		x, err := experiment.Read("../../experiments/" + name + ".toml")
 		if err != nil {
 			t.Fatal(err)
 		}
-		r, _ := played(t, x, Options{Command: []string{daemon}, Rule: "minttray"})
+		r, _ := executeValid(t, x, Options{Command: []string{daemon}, Rule: "minttray"})
 		v := r.Verdict
 		if !v.Passed() || !v.Complete || len(r.Crashes) > 0 || v.Answers["acked"] < 100 {
 			t.Errorf("%s: %s", name, r.Summary())
@@ -129,7 +129,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, dir := played(t, x, Options{Command: []string{build(t, "minttray")}, Rule: "minttray"})
+	r, dir := executeValid(t, x, Options{Command: []string{buildProgram(t, "minttray")}, Rule: "minttray"})
 	v := r.Verdict
 	if !v.Passed() || !v.Complete || len(r.Crashes) > 0 || v.Answers["acked"] < 500 {
 		t.Errorf("%s", r.Summary())
@@ -158,13 +158,13 @@
 // holds idle connections 4 s after clients were sent away, is a failure of the run.
 func TestOperators(t *testing.T) {
 	t.Parallel()
-	daemon := build(t, "minttray")
+	daemon := buildProgram(t, "minttray")
 	for name, calls := range map[string]int{"upgrade-short": 2, "lameduck-short": 0} {
 		x, err := experiment.Read("../../experiments/" + name + ".toml")
 		if err != nil {
 			t.Fatal(err)
 		}
-		r, dir := played(t, x, Options{Command: []string{daemon}, Rule: "minttray"})
+		r, dir := executeValid(t, x, Options{Command: []string{daemon}, Rule: "minttray"})
 		v := r.Verdict
 		if !v.Passed() || !v.Complete || len(r.Crashes) > 0 || v.Answers["acked"] < 100 || v.KilledOps > 0 {
 			t.Errorf("%s: %s", name, r.Summary())
@@ -199,14 +199,14 @@
 // answer unless SIGKILL took its proxy, and where all restarts are upgrades nothing is lost and no connection is refused.
 func TestRollingWaves(t *testing.T) {
 	t.Parallel()
-	daemon := build(t, "minttray")
+	daemon := buildProgram(t, "minttray")
 	for _, by := range []string{"mixed", "upgrade"} {
 		x, err := experiment.Read("../../experiments/waves-short.toml")
 		if err != nil {
 			t.Fatal(err)
 		}
-		x.Faults[0].By = by
-		r, _ := played(t, x, Options{Command: []string{daemon}, Rule: "minttray"})
+		x.Faults[0].Mode = by
+		r, _ := executeValid(t, x, Options{Command: []string{daemon}, Rule: "minttray"})
 		v := r.Verdict
 		if !v.Passed() || !v.Complete || len(r.Crashes) > 0 || v.Answers["acked"] < 100 || len(r.Stats.RestartedByAge) == 0 {
 			t.Errorf("%s: %s", by, r.Summary())
@@ -223,7 +223,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, err = Play(x, Options{Dir: t.TempDir(), Command: []string{"sh", "-c", "echo no such luck >&2; exit 3"}, Stop: make(chan struct{})})
+	_, err = Execute(x, Options{Dir: t.TempDir(), Command: []string{"sh", "-c", "echo no such luck >&2; exit 3"}, Stop: make(chan struct{})})
 	if err == nil || !strings.Contains(err.Error(), "no such luck") || !strings.Contains(err.Error(), "proxy ") {
 		t.Errorf("%v", err)
 	}
@@ -243,7 +243,7 @@
 			close(stop)
 		}
 	}
-	r, err := Play(x, Options{Say: say, Dir: t.TempDir(), Command: []string{build(t, "mintbase")}, Env: []string{"MINTBASE_RULE=rendezvous"}, Stop: stop})
+	r, err := Execute(x, Options{Logf: say, Dir: t.TempDir(), Command: []string{buildProgram(t, "mintbase")}, Env: []string{"MINTBASE_RULE=rendezvous"}, Stop: stop})
 	if err != nil || r.ExitStatus() != 3 || r.Verdict.Complete || !r.Verdict.Passed() || r.Verdict.Ops == 0 {
 		t.Errorf("%v, %+v", err, r)
 	}
--- a/lab/run/sites_test.go
+++ b/lab/run/sites_test.go
@@ -16,7 +16,7 @@
 // The verdict hangs on counts alone: every try has one end, no rule is broken, whatever was asked of the lab was done.
 func TestSites(t *testing.T) {
 	t.Parallel()
-	daemon := build(t, "minttray")
+	daemon := buildProgram(t, "minttray")
 	for _, name := range []string{"site-lost", "site-cut", "site-cut-ways", "site-flaps", "two-sites", "site-by-hand", "site-busy", "stalls"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -24,7 +24,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			r, _ := played(t, x, Options{Command: []string{daemon}, Rule: "minttray"})
+			r, _ := executeValid(t, x, Options{Command: []string{daemon}, Rule: "minttray"})
 			v := r.Verdict
 			if !v.Passed() || !v.Complete || len(r.Crashes) > 0 || v.Answers["acked"] < 500 {
 				t.Errorf("%s", r.Summary())
@@ -52,7 +52,7 @@
 // or whose answer has come. All are found, and the module, told the same terms on the same day, does none.
 func TestPlantedFaults(t *testing.T) {
 	t.Parallel()
-	daemon := build(t, "minttray")
+	daemon := buildProgram(t, "minttray")
 	patient := []string{"caches.mode=\"through\"", "clients.leave=0.5", "rules.slack=\"200ms\"", "load.rate=40"}
 	for name, c := range map[string]struct {
 		rule, breaks, file string
@@ -87,9 +87,9 @@
 				}
 				o := Options{Command: []string{daemon}, Rule: rule}
 				if rule != "minttray" {
-					o.Command, o.Env = []string{build(t, "mintbase")}, []string{"MINTBASE_RULE=" + rule}
+					o.Command, o.Env = []string{buildProgram(t, "mintbase")}, []string{"MINTBASE_RULE=" + rule}
 				}
-				r, _ := played(t, x, o)
+				r, _ := executeValid(t, x, o)
 				if name == "for nobody" && r.Verdict.ClientsLeft == 0 {
 					t.Error("no client has left")
 				}
@@ -114,7 +114,7 @@
 	}
 	plans := `[{"Lost":["b"],"Phases":[{"Name":"at once","Served":0.5,"Asked":{"Fetches":500}},{"Name":"settled","Served":1},{"Name":"return","Served":1}]}]`
 	var out strings.Builder
-	if err := Seen(&out, x, strings.NewReader(plans), r); err != nil {
+	if err := ComparePlan(&out, x, strings.NewReader(plans), r); err != nil {
 		t.Fatal(err)
 	}
 	lines := strings.Split(strings.TrimSpace(out.String()), "\n")
--- a/lab/run/soak_test.go
+++ b/lab/run/soak_test.go
@@ -16,7 +16,7 @@
 // again by itself; one that shows a broken rule fails, whatever else it shows.
 func TestSoak(t *testing.T) {
 	t.Parallel()
-	daemon := build(t, "minttray")
+	daemon := buildProgram(t, "minttray")
 	for _, seed := range soakSeeds {
 		x := experiment.Soak(seed, soakLength)
 		t.Run(x.Name, func(t *testing.T) {
@@ -24,15 +24,15 @@
 			if err := x.Check(); err != nil {
 				t.Fatal(err)
 			}
-			keeps(t, x, daemon)
+			expectRulesKept(t, x, daemon)
 		})
 	}
 }
 
 // keeps plays an experiment to its end, and wants all rules kept and something served.
-func keeps(t *testing.T, x *experiment.File, daemon string) {
+func expectRulesKept(t *testing.T, x *experiment.File, daemon string) {
 	t.Helper()
-	r, _ := played(t, x, Options{Command: []string{daemon}, Rule: "minttray"})
+	r, _ := executeValid(t, x, Options{Command: []string{daemon}, Rule: "minttray"})
 	if !r.Verdict.Passed() || !r.Verdict.Complete || len(r.Crashes) > 0 || r.Verdict.Answers["acked"] == 0 {
 		t.Errorf("%s", r.Summary())
 	}
@@ -45,7 +45,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	keeps(t, x, build(t, "minttray"))
+	expectRulesKept(t, x, buildProgram(t, "minttray"))
 }
 
 // The same seed draws the same run, another one another, and each is within the bounds of experiments.
--- a/lab/run/stand.go
+++ b/lab/run/stand.go
@@ -12,23 +12,23 @@
 
 // Stand puts a world up without load or proxies, writes the proxies' configurations, and waits for the word to stop:
 // to try a proxy by hand.
-func Stand(x *experiment.File, dir string, say func(format string, args ...any), stop <-chan struct{}) error {
+func ServeStandIns(x *experiment.File, dir string, logf func(format string, args ...any), stop <-chan struct{}) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
 	}
-	book, err := ledger.Create(filepath.Join(dir, "ledger.bin"))
+	writer, err := ledger.Create(filepath.Join(dir, "ledger.bin"))
 	if err != nil {
 		return err
 	}
-	defer book.Close()
-	w, err := world.New(x, book)
+	defer writer.Close()
+	w, err := world.New(x, writer)
 	if err != nil {
 		return err
 	}
 	defer w.Close()
-	fill(x, w)
+	prefillCaches(x, w)
 	for n := range x.Proxies.Count {
-		a, err := w.Reg.Agent(n)
+		a, err := w.Registry.NewAgent(n)
 		if err != nil {
 			return err
 		}
@@ -36,13 +36,13 @@
 		if err != nil {
 			return err
 		}
-		path, err := configure(dir, x, n, addr, a.Addr, "", a.List())
+		path, err := writeConfig(dir, x, n, addr, a.Addr, "", a.List())
 		if err != nil {
 			return err
 		}
-		say("proxy %d: BALANCER_CONFIG=%s bin/minttray, listens on %s", n, path, addr)
+		logf("proxy %d: BALANCER_CONFIG=%s bin/minttray, listens on %s", n, path, addr)
 	}
-	say("%d caches and the origin are up; the most asked key is %016x; Ctrl-C ends them", x.Caches.Count, load.KeyOf(x, 0, 0))
+	logf("%d caches and the origin are up; the most asked key is %016x; Ctrl-C ends them", x.Caches.Count, load.KeyOf(x, 0, 0))
 	<-stop
 	return nil
 }
--- a/lab/ways/conn.go
+++ b/lab/ways/conn.go
@@ -9,49 +9,49 @@
 )
 
 const (
-	piece    = 16 << 10
-	mostHeld = 64 // pieces on their way in each direction; the sender waits for more
+	chunkSize = 16 << 10
+	maxChunks = 64 // pieces on their way in each direction; the sender waits for more
 )
 
 // Conn is the lab's end of a connection: what comes and goes passes the ways between far and near.
 type Conn struct {
 	net.Conn
-	t         *RuleTable
-	far, near Endpoint
-	mute      bool // it came up, and never says or hears anything
-	in, out   pipe
-	over      chan struct{}
-	once      sync.Once
-	ended     chan struct{}
-	broke     error // why nothing more comes, once that is closed
+	rules             *RuleTable
+	remote, local     Endpoint
+	silent            bool // it came up, and never says or hears anything
+	inbound, outbound direction
+	closed            chan struct{}
+	closeOnce         sync.Once
+	readEnded         chan struct{}
+	readErr           error // why nothing more comes, once that is closed
 }
 
-type held struct {
-	data []byte
-	at   time.Time // when it was sent
-	out  time.Time // when a thinned way has let it through
+type chunk struct {
+	data       []byte
+	sentAt     time.Time // when it was sent
+	releasedAt time.Time // when a thinned way has let it through
 }
 
 // pipe is one direction.
-type pipe struct {
-	queue chan held
-	next  *held      // that was taken off the queue
-	rest  []byte     // of a piece that was read in part
-	mu    sync.Mutex // guards what follows, but for free
-	sent  time.Time
-	free  time.Time // a thinned way is busy until then
-	until time.Time // a reader's deadline
-	wake  chan struct{}
+type direction struct {
+	queue           chan chunk
+	current         *chunk     // that was taken off the queue
+	rest            []byte     // of a piece that was read in part
+	mu              sync.Mutex // guards what follows, but for free
+	sentAt          time.Time
+	busyUntil       time.Time // a thinned way is busy until then
+	readDeadline    time.Time // a reader's deadline
+	deadlineChanged chan struct{}
 }
 
 // Through has a connection pass the ways between its two ends.
-func (t *RuleTable) Through(c net.Conn, far, near Endpoint) *Conn {
-	there, _ := t.is(far, near)
-	k := &Conn{Conn: c, t: t, far: far, near: near, mute: t.draw(there.Lose), over: make(chan struct{}), ended: make(chan struct{})}
-	for _, p := range []*pipe{&k.in, &k.out} {
-		p.queue, p.wake = make(chan held, mostHeld), make(chan struct{})
+func (t *RuleTable) Wrap(c net.Conn, remote, local Endpoint) *Conn {
+	inboundRule, _ := t.effective(remote, local)
+	k := &Conn{Conn: c, rules: t, remote: remote, local: local, silent: t.draw(inboundRule.SilentShare), closed: make(chan struct{}), readEnded: make(chan struct{})}
+	for _, d := range []*direction{&k.inbound, &k.outbound} {
+		d.queue, d.deadlineChanged = make(chan chunk, maxChunks), make(chan struct{})
 	}
-	t.follow(k, true)
+	t.subscribe(k, true)
 	go k.receive()
 	go k.send()
 	return k
@@ -59,20 +59,20 @@
 
 // receive takes bytes off as they come, whatever the way does with them: their time is when they were sent.
 func (k *Conn) receive() {
-	defer close(k.in.queue)
+	defer close(k.inbound.queue)
 	for {
-		data := make([]byte, piece)
+		data := make([]byte, chunkSize)
 		n, err := k.Conn.Read(data)
-		if n > 0 && !k.mute {
+		if n > 0 && !k.silent {
 			select {
-			case k.in.queue <- held{data: data[:n], at: time.Now()}:
-			case <-k.over:
+			case k.inbound.queue <- chunk{data: data[:n], sentAt: time.Now()}:
+			case <-k.closed:
 				return
 			}
 		}
 		if err != nil {
-			k.broke = err
-			close(k.ended)
+			k.readErr = err
+			close(k.readEnded)
 			return
 		}
 	}
@@ -80,88 +80,88 @@
 
 // wait is how long a piece stays on its way from now on; 0: it is out. cut: until the rules change, which they do by what
 // closes changed.
-func (k *Conn) wait(p *pipe, from, to Endpoint, h *held) (left time.Duration, cut bool, changed <-chan struct{}) {
-	is, changed := k.t.is(from, to)
-	if is.Cut {
+func (k *Conn) transitDelay(d *direction, from, to Endpoint, c *chunk) (remaining time.Duration, cut bool, changed <-chan struct{}) {
+	rule, changed := k.rules.effective(from, to)
+	if rule.Cut {
 		return 0, true, changed
 	}
-	due := h.at.Add(is.Delay)
-	if is.Rate > 0 && h.out.IsZero() {
-		if p.free.Before(due) {
-			p.free = due
+	due := c.sentAt.Add(rule.Delay)
+	if rule.BytesPerSecond > 0 && c.releasedAt.IsZero() {
+		if d.busyUntil.Before(due) {
+			d.busyUntil = due
 		}
-		p.free = p.free.Add(time.Duration(float64(len(h.data)) / is.Rate * float64(time.Second)))
-		h.out = p.free
+		d.busyUntil = d.busyUntil.Add(time.Duration(float64(len(c.data)) / rule.BytesPerSecond * float64(time.Second)))
+		c.releasedAt = d.busyUntil
 	}
-	if due.Before(h.out) {
-		due = h.out
+	if due.Before(c.releasedAt) {
+		due = c.releasedAt
 	}
 	return max(time.Until(due), 0), false, changed
 }
 
 // Read gives what has come through; Sent tells when that was sent.
 func (k *Conn) Read(b []byte) (int, error) {
-	p := &k.in
-	for len(p.rest) == 0 {
-		p.mu.Lock()
-		until, wake := p.until, p.wake
-		p.mu.Unlock()
-		var stop, out <-chan time.Time
-		var changed, ended <-chan struct{}
-		queue := p.queue
-		if !until.IsZero() {
-			stop = time.After(time.Until(until))
+	d := &k.inbound
+	for len(d.rest) == 0 {
+		d.mu.Lock()
+		deadline, deadlineChanged := d.readDeadline, d.deadlineChanged
+		d.mu.Unlock()
+		var timeout, released <-chan time.Time
+		var changed, senderClosed <-chan struct{}
+		queue := d.queue
+		if !deadline.IsZero() {
+			timeout = time.After(time.Until(deadline))
 		}
-		if p.next != nil {
-			left, cut, news := k.wait(p, k.far, k.near, p.next)
-			if left == 0 && !cut {
-				p.mu.Lock()
-				p.rest, p.sent, p.next = p.next.data, p.next.at, nil
-				p.mu.Unlock()
+		if d.current != nil {
+			remaining, cut, rulesChanged := k.transitDelay(d, k.remote, k.local, d.current)
+			if remaining == 0 && !cut {
+				d.mu.Lock()
+				d.rest, d.sentAt, d.current = d.current.data, d.current.sentAt, nil
+				d.mu.Unlock()
 				continue
 			}
-			if queue, changed = nil, news; cut {
-				ended = k.ended // the sender has closed: what is still on a cut way never comes
+			if queue, changed = nil, rulesChanged; cut {
+				senderClosed = k.readEnded // the sender has closed: what is still on a cut way never comes
 			} else {
-				out = time.After(left)
+				released = time.After(remaining)
 			}
 		}
 		select {
-		case h, more := <-queue:
+		case c, more := <-queue:
 			if !more {
-				return 0, k.broke
+				return 0, k.readErr
 			}
-			p.next = &h
-		case <-ended:
-			return 0, k.broke
-		case <-out:
+			d.current = &c
+		case <-senderClosed:
+			return 0, k.readErr
+		case <-released:
 		case <-changed:
-		case <-wake:
-		case <-stop:
+		case <-deadlineChanged:
+		case <-timeout:
 			return 0, os.ErrDeadlineExceeded
-		case <-k.over:
+		case <-k.closed:
 			return 0, net.ErrClosed
 		}
 	}
-	n := copy(b, p.rest)
-	p.rest = p.rest[n:]
+	n := copy(b, d.rest)
+	d.rest = d.rest[n:]
 	return n, nil
 }
 
 // Sent is when the bytes that were last read were sent.
-func (k *Conn) Sent() time.Time {
-	k.in.mu.Lock()
-	defer k.in.mu.Unlock()
-	return k.in.sent
+func (k *Conn) SentAt() time.Time {
+	k.inbound.mu.Lock()
+	defer k.inbound.mu.Unlock()
+	return k.inbound.sentAt
 }
 
 // SetReadDeadline and SetDeadline are those of a net.Conn, for reads; what is written is not waited for.
 func (k *Conn) SetReadDeadline(at time.Time) error {
-	k.in.mu.Lock()
-	defer k.in.mu.Unlock()
-	k.in.until = at
-	close(k.in.wake)
-	k.in.wake = make(chan struct{})
+	k.inbound.mu.Lock()
+	defer k.inbound.mu.Unlock()
+	k.inbound.readDeadline = at
+	close(k.inbound.deadlineChanged)
+	k.inbound.deadlineChanged = make(chan struct{})
 	return nil
 }
 
@@ -174,17 +174,17 @@
 // Write sends on its way, and waits only if too much is on it.
 func (k *Conn) Write(b []byte) (int, error) {
 	select {
-	case <-k.over:
+	case <-k.closed:
 		return 0, net.ErrClosed
 	default:
 	}
-	if k.mute {
+	if k.silent {
 		return len(b), nil
 	}
 	select {
-	case k.out.queue <- held{data: append([]byte(nil), b...), at: time.Now()}:
+	case k.outbound.queue <- chunk{data: append([]byte(nil), b...), sentAt: time.Now()}:
 		return len(b), nil
-	case <-k.over:
+	case <-k.closed:
 		return 0, net.ErrClosed
 	}
 }
@@ -192,37 +192,37 @@
 // send has what was written go out, also what was written before the end, unless the way is cut by then.
 func (k *Conn) send() {
 	defer k.Conn.Close()
-	for over := false; ; {
-		var h held
+	for closed := false; ; {
+		var c chunk
 		select {
-		case h = <-k.out.queue:
+		case c = <-k.outbound.queue:
 		default:
-			if over {
+			if closed {
 				return
 			}
 			select {
-			case h = <-k.out.queue:
-			case <-k.over:
-				over = true
+			case c = <-k.outbound.queue:
+			case <-k.closed:
+				closed = true
 				continue
 			}
 		}
 		for {
-			left, cut, changed := k.wait(&k.out, k.near, k.far, &h)
+			remaining, cut, changed := k.transitDelay(&k.outbound, k.local, k.remote, &c)
 			if cut {
 				select {
 				case <-changed:
-				case <-k.over:
+				case <-k.closed:
 					return
 				}
 				continue
 			}
-			if left == 0 {
+			if remaining == 0 {
 				break
 			}
-			time.Sleep(left)
+			time.Sleep(remaining)
 		}
-		if _, err := k.Conn.Write(h.data); err != nil {
+		if _, err := k.Conn.Write(c.data); err != nil {
 			k.Close()
 			return
 		}
@@ -231,9 +231,9 @@
 
 // Close ends it; what is on its way still goes out.
 func (k *Conn) Close() error {
-	k.once.Do(func() {
-		k.t.follow(k, false)
-		close(k.over)
+	k.closeOnce.Do(func() {
+		k.rules.subscribe(k, false)
+		close(k.closed)
 	})
 	return nil
 }
@@ -248,28 +248,28 @@
 }
 
 // ruled resets a share of the open connections as a rule says.
-func (k *Conn) ruled(put *Rule) {
-	if put != nil && put.Reset > 0 && (put.holds(k.far, k.near) || put.holds(k.near, k.far)) && k.t.draw(put.Reset) {
+func (k *Conn) rulesChanged(put *Rule) {
+	if put != nil && put.ResetShare > 0 && (put.matches(k.remote, k.local) || put.matches(k.local, k.remote)) && k.rules.draw(put.ResetShare) {
 		k.Abort()
 	}
 }
 
 // ErrCut is a handshake that did not come up.
-var ErrCut = errors.New("the way is cut")
+var ErrLinkCut = errors.New("the way is cut")
 
 // Dial connects to another process, unless the way is cut for all the time that it may take.
-func (t *RuleTable) Dial(near, far Endpoint, addr string, patience time.Duration) (net.Conn, error) {
-	for late := time.After(patience); t.Cut(near, far); {
-		_, changed := t.is(near, far)
+func (t *RuleTable) Dial(local, remote Endpoint, addr string, timeout time.Duration) (net.Conn, error) {
+	for expired := time.After(timeout); t.IsCut(local, remote); {
+		_, changed := t.effective(local, remote)
 		select {
 		case <-changed:
-		case <-late:
-			return nil, ErrCut
+		case <-expired:
+			return nil, ErrLinkCut
 		}
 	}
-	c, err := net.DialTimeout("tcp", addr, patience)
+	c, err := net.DialTimeout("tcp", addr, timeout)
 	if err != nil {
 		return nil, err
 	}
-	return t.Through(c, far, near), nil
+	return t.Wrap(c, remote, local), nil
 }
--- a/lab/ways/ways.go
+++ b/lab/ways/ways.go
@@ -20,118 +20,120 @@
 }
 
 // Any is each site.
-const Any = -1
+const AnySite = -1
 
-func (e Endpoint) holds(x Endpoint) bool {
-	return (e.Site == Any || e.Site == x.Site) && (e.Name == "" || e.Name == x.Name)
+func (e Endpoint) matches(x Endpoint) bool {
+	return (e.Site == AnySite || e.Site == x.Site) && (e.Name == "" || e.Name == x.Name)
 }
 
 // Rule is what is wrong with all ways between two ends. It holds for connections whoever opens them.
 type Rule struct {
-	Near, Far Endpoint
-	Others    bool          // Far is each site but that of Near
-	Out, In   bool          // from Near to Far, from Far to Near
-	Cut       bool          // nothing comes through
-	Delay     time.Duration // is added
-	Rate      float64       // bytes a second on each connection; 0: as many as come
-	Lose      float64       // share of new connections that come up and then are silent
-	Reset     float64       // share of connections that are reset, the open ones at once and new ones as they come
+	Local, Remote     Endpoint
+	OtherSites        bool          // Far is each site but that of Near
+	Outbound, Inbound bool          // from Near to Far, from Far to Near
+	Cut               bool          // nothing comes through
+	Delay             time.Duration // is added
+	BytesPerSecond    float64       // bytes a second on each connection; 0: as many as come
+	SilentShare       float64       // share of new connections that come up and then are silent
+	ResetShare        float64       // share of connections that are reset, the open ones at once and new ones as they come
 }
 
-func (r *Rule) holds(from, to Endpoint) bool {
-	far := func(e Endpoint) bool { return r.Others && e.Site != r.Near.Site || !r.Others && r.Far.holds(e) }
-	return r.Out && r.Near.holds(from) && far(to) || r.In && r.Near.holds(to) && far(from)
+func (r *Rule) matches(from, to Endpoint) bool {
+	isRemote := func(e Endpoint) bool {
+		return r.OtherSites && e.Site != r.Local.Site || !r.OtherSites && r.Remote.matches(e)
+	}
+	return r.Outbound && r.Local.matches(from) && isRemote(to) || r.Inbound && r.Local.matches(to) && isRemote(from)
 }
 
 // RuleTable is all rules of a run. Its methods may be called from any goroutine.
 type RuleTable struct {
-	mu      sync.Mutex
-	rules   []*Rule
-	rnd     *rand.Rand
-	changed chan struct{} // closed with each change
-	seen    map[changes]bool
+	mu        sync.Mutex
+	rules     []*Rule
+	random    *rand.Rand
+	changed   chan struct{} // closed with each change
+	listeners map[ruleListener]bool
 }
 
 // changes is whom a change of the rules is told to, beside those that wait for it: once for each rule that is put.
-type changes interface{ ruled(put *Rule) }
+type ruleListener interface{ rulesChanged(put *Rule) }
 
 // New makes a table without rules. What is drawn hangs on the seed and on the order of connections.
 func New(seed uint64) *RuleTable {
-	return &RuleTable{rnd: rand.New(rand.NewPCG(seed, 0x77617973)), changed: make(chan struct{}), seen: map[changes]bool{}}
+	return &RuleTable{random: rand.New(rand.NewPCG(seed, 0x77617973)), changed: make(chan struct{}), listeners: map[ruleListener]bool{}}
 }
 
 // Put adds a rule until the function that it gives is called.
-func (t *RuleTable) Put(r Rule) (end func()) {
-	t.change(func() { t.rules = append(t.rules, &r) }, &r)
+func (t *RuleTable) Add(r Rule) (remove func()) {
+	t.update(func() { t.rules = append(t.rules, &r) }, &r)
 	return func() {
-		t.change(func() { t.rules = slices.DeleteFunc(t.rules, func(x *Rule) bool { return x == &r }) }, nil)
+		t.update(func() { t.rules = slices.DeleteFunc(t.rules, func(x *Rule) bool { return x == &r }) }, nil)
 	}
 }
 
-func (t *RuleTable) change(do func(), put *Rule) {
+func (t *RuleTable) update(apply func(), added *Rule) {
 	t.mu.Lock()
-	do()
+	apply()
 	close(t.changed)
 	t.changed = make(chan struct{})
-	var all []changes
-	for c := range t.seen {
-		all = append(all, c)
+	var listeners []ruleListener
+	for c := range t.listeners {
+		listeners = append(listeners, c)
 	}
 	t.mu.Unlock()
-	var told sync.WaitGroup // all at once: a listener takes tens of milliseconds to be sure that it is shut
-	for _, c := range all {
-		told.Add(1)
+	var notified sync.WaitGroup // all at once: a listener takes tens of milliseconds to be sure that it is shut
+	for _, c := range listeners {
+		notified.Add(1)
 		go func() {
-			defer told.Done()
-			c.ruled(put)
+			defer notified.Done()
+			c.rulesChanged(added)
 		}()
 	}
-	told.Wait()
+	notified.Wait()
 }
 
-func (t *RuleTable) follow(c changes, on bool) {
+func (t *RuleTable) subscribe(c ruleListener, on bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if on {
-		t.seen[c] = true
+		t.listeners[c] = true
 	} else {
-		delete(t.seen, c)
+		delete(t.listeners, c)
 	}
 }
 
 // is sums what is wrong in one direction now; changed is closed once it may be otherwise.
-func (t *RuleTable) is(from, to Endpoint) (sum Rule, changed <-chan struct{}) {
+func (t *RuleTable) effective(from, to Endpoint) (sum Rule, changed <-chan struct{}) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, r := range t.rules {
-		if r.holds(from, to) {
+		if r.matches(from, to) {
 			sum.Cut = sum.Cut || r.Cut
 			sum.Delay += r.Delay
-			if r.Rate > 0 && (sum.Rate == 0 || r.Rate < sum.Rate) {
-				sum.Rate = r.Rate
+			if r.BytesPerSecond > 0 && (sum.BytesPerSecond == 0 || r.BytesPerSecond < sum.BytesPerSecond) {
+				sum.BytesPerSecond = r.BytesPerSecond
 			}
-			sum.Lose, sum.Reset = max(sum.Lose, r.Lose), max(sum.Reset, r.Reset)
+			sum.SilentShare, sum.ResetShare = max(sum.SilentShare, r.SilentShare), max(sum.ResetShare, r.ResetShare)
 		}
 	}
 	return sum, t.changed
 }
 
 // Cut tells whether a connection from one end to the other can't come up now: either direction is enough.
-func (t *RuleTable) Cut(from, to Endpoint) bool {
-	there, _ := t.is(from, to)
-	back, _ := t.is(to, from)
-	return there.Cut || back.Cut
+func (t *RuleTable) IsCut(from, to Endpoint) bool {
+	forward, _ := t.effective(from, to)
+	backward, _ := t.effective(to, from)
+	return forward.Cut || backward.Cut
 }
 
 // Faulty tells whether anything is wrong between two ends.
 func (t *RuleTable) Faulty(a, b Endpoint) bool {
-	there, _ := t.is(a, b)
-	back, _ := t.is(b, a)
-	return there != Rule{} || back != Rule{}
+	forward, _ := t.effective(a, b)
+	backward, _ := t.effective(b, a)
+	return forward != Rule{} || backward != Rule{}
 }
 
 func (t *RuleTable) draw(share float64) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return share > 0 && t.rnd.Float64() < share
+	return share > 0 && t.random.Float64() < share
 }
--- a/lab/ways/ways_test.go
+++ b/lab/ways/ways_test.go
@@ -12,7 +12,7 @@
 var client, server = Endpoint{0, "p"}, Endpoint{1, "s"}
 
 // echo answers each line.
-func echo(t *testing.T, w *RuleTable) string {
+func startEcho(t *testing.T, w *RuleTable) string {
 	l, err := w.Listen("127.0.0.1:0", client, server)
 	if err != nil {
 		t.Fatal(err)
@@ -33,18 +33,18 @@
 }
 
 // ask sends a line on a connection and gives what came within the time, "" for nothing.
-func ask(c net.Conn, text string, within time.Duration) string {
+func exchange(c net.Conn, text string, within time.Duration) string {
 	fmt.Fprintln(c, text)
 	c.SetReadDeadline(time.Now().Add(within))
 	line, _ := bufio.NewReader(c).ReadString('\n')
 	return line
 }
 
-const soon, short = 5 * time.Second, 100 * time.Millisecond
+const longTimeout, shortDelay = 5 * time.Second, 100 * time.Millisecond
 
 func TestRules(t *testing.T) {
 	rule := func(near, far Endpoint, r Rule) Rule {
-		r.Near, r.Far, r.Out = near, far, true
+		r.Local, r.Remote, r.Outbound = near, far, true
 		return r
 	}
 	cut := Rule{Cut: true}
@@ -54,35 +54,35 @@
 		open, anew bool // an open connection is answered, a new one comes up
 	}{
 		{"there", rule(Endpoint{0, ""}, Endpoint{1, ""}, cut), false, false}, {"back", rule(server, client, cut), false, false},
-		{"into the site", Rule{Near: Endpoint{0, ""}, Others: true, In: true, Cut: true}, false, false},
-		{"another site", Rule{Near: Endpoint{2, ""}, Others: true, Out: true, In: true, Cut: true}, true, true},
-		{"slow", rule(client, server, Rule{Delay: 3 * short}), false, true},
-		{"thin", rule(client, server, Rule{Rate: 10}), false, true},
-		{"silent", rule(client, server, Rule{Lose: 1}), true, false},
-		{"reset", rule(client, server, Rule{Reset: 1}), false, false},
+		{"into the site", Rule{Local: Endpoint{0, ""}, OtherSites: true, Inbound: true, Cut: true}, false, false},
+		{"another site", Rule{Local: Endpoint{2, ""}, OtherSites: true, Outbound: true, Inbound: true, Cut: true}, true, true},
+		{"slow", rule(client, server, Rule{Delay: 3 * shortDelay}), false, true},
+		{"thin", rule(client, server, Rule{BytesPerSecond: 10}), false, true},
+		{"silent", rule(client, server, Rule{SilentShare: 1}), true, false},
+		{"reset", rule(client, server, Rule{ResetShare: 1}), false, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			w := New(1)
-			addr := echo(t, w)
+			addr := startEcho(t, w)
 			old, err := net.Dial("tcp", addr)
-			if err != nil || ask(old, "a", soon) != "a\n" {
+			if err != nil || exchange(old, "a", longTimeout) != "a\n" {
 				t.Fatal(err)
 			}
-			end := w.Put(c.rule)
-			if got := ask(old, "b", short); (got == "b\n") != c.open {
+			end := w.Add(c.rule)
+			if got := exchange(old, "b", shortDelay); (got == "b\n") != c.open {
 				t.Errorf("open: %q", got)
 			}
-			k, err := net.DialTimeout("tcp", addr, short)
-			if came := err == nil && (c.rule.Lose+c.rule.Reset == 0 || ask(k, "c", short) == "c\n"); came != c.anew {
+			k, err := net.DialTimeout("tcp", addr, shortDelay)
+			if came := err == nil && (c.rule.SilentShare+c.rule.ResetShare == 0 || exchange(k, "c", shortDelay) == "c\n"); came != c.anew {
 				t.Errorf("anew: %v", err)
 			}
 			end()
 			if c.rule.Cut && !c.open { // what was held comes late, in its order
-				if got := ask(old, "d", soon); got != "b\n" {
+				if got := exchange(old, "d", longTimeout); got != "b\n" {
 					t.Errorf("held: %q", got)
 				}
 			}
-			if k, err = net.DialTimeout("tcp", addr, soon); err != nil || ask(k, "e", soon) != "e\n" {
+			if k, err = net.DialTimeout("tcp", addr, longTimeout); err != nil || exchange(k, "e", longTimeout) != "e\n" {
 				t.Errorf("after: %v", err)
 			}
 		})
@@ -96,16 +96,16 @@
 	defer l.Close()
 	c, _ := net.Dial("tcp", l.Addr().String())
 	k, _ := l.Accept()
-	end := w.Put(Rule{Near: client, Far: server, Out: true, Cut: true})
+	end := w.Add(Rule{Local: client, Remote: server, Outbound: true, Cut: true})
 	fmt.Fprint(c, "x")
 	at := time.Now()
-	time.Sleep(short)
+	time.Sleep(shortDelay)
 	end()
 	one := make([]byte, 1)
-	if n, err := k.Read(one); n != 1 || err != nil || k.(*Conn).Sent().Sub(at) > short/2 {
-		t.Errorf("%d, %v, sent %v later", n, err, k.(*Conn).Sent().Sub(at))
+	if n, err := k.Read(one); n != 1 || err != nil || k.(*Conn).SentAt().Sub(at) > shortDelay/2 {
+		t.Errorf("%d, %v, sent %v later", n, err, k.(*Conn).SentAt().Sub(at))
 	}
-	defer w.Put(Rule{Near: client, Far: server, Out: true, Cut: true})()
+	defer w.Add(Rule{Local: client, Remote: server, Outbound: true, Cut: true})()
 	fmt.Fprint(c, "y")
 	c.Close()
 	if n, err := k.Read(one); n != 0 || err == nil {
@@ -115,27 +115,27 @@
 
 func TestAWriteIsNotEndedByItsDeadline(t *testing.T) {
 	w := New(1)
-	c, err := w.Dial(client, server, echo(t, New(2)), soon)
+	c, err := w.Dial(client, server, startEcho(t, New(2)), longTimeout)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer w.Put(Rule{Near: client, Far: server, Out: true, Delay: short})()
-	c.SetWriteDeadline(time.Now().Add(short / 10))
-	if got := ask(c, "a", soon); got != "a\n" {
+	defer w.Add(Rule{Local: client, Remote: server, Outbound: true, Delay: shortDelay})()
+	c.SetWriteDeadline(time.Now().Add(shortDelay / 10))
+	if got := exchange(c, "a", longTimeout); got != "a\n" {
 		t.Errorf("%q", got)
 	}
 }
 
 func TestDialOverACutWay(t *testing.T) {
 	w := New(1)
-	addr := echo(t, New(2))
-	end := w.Put(Rule{Near: server, Far: client, Out: true, Cut: true})
-	if _, err := w.Dial(client, server, addr, short); !errors.Is(err, ErrCut) {
+	addr := startEcho(t, New(2))
+	end := w.Add(Rule{Local: server, Remote: client, Outbound: true, Cut: true})
+	if _, err := w.Dial(client, server, addr, shortDelay); !errors.Is(err, ErrLinkCut) {
 		t.Errorf("%v", err)
 	}
-	time.AfterFunc(short, end)
-	c, err := w.Dial(client, server, addr, soon)
-	if err != nil || ask(c, "a", soon) != "a\n" {
+	time.AfterFunc(shortDelay, end)
+	c, err := w.Dial(client, server, addr, longTimeout)
+	if err != nil || exchange(c, "a", longTimeout) != "a\n" {
 		t.Errorf("%v", err)
 	}
 }
@@ -147,10 +147,10 @@
 	defer l.Close()
 	early, _ := net.Dial("tcp", l.Addr().String()) // not accepted yet
 	fmt.Fprintln(early, "early")
-	end := w.Put(Rule{Near: client, Far: server, Out: true, Cut: true})
+	end := w.Add(Rule{Local: client, Remote: server, Outbound: true, Cut: true})
 	early.Close()
 	end()
-	time.AfterFunc(short, func() {
+	time.AfterFunc(shortDelay, func() {
 		if c, err := net.Dial("tcp", l.Addr().String()); err == nil {
 			fmt.Fprintln(c, "late")
 		}
@@ -174,11 +174,11 @@
 	c, _ := net.Dial("tcp", l.Addr().String())
 	k, _ := l.Accept()
 	defer k.Close()
-	if !open(k) {
+	if !remoteOpen(k) {
 		t.Error("an open one is taken for closed")
 	}
 	c.Close()
-	if open(k) {
+	if remoteOpen(k) {
 		t.Error("a closed one is taken for open")
 	}
 }
--- a/lab/world/addresses.go
+++ b/lab/world/addresses.go
@@ -12,32 +12,38 @@
 
 // blocks are parts of the loopback range that worlds are given in turn. Danger: two worlds at the same addresses, as tests that run beside each other
 // make them, take each other's ports while a cache or a proxy is down.
-const blocks = 8
+const addressBlocks = 8
 
-var worlds atomic.Uint32
+var worldCount atomic.Uint32
 
 // nextBlock is the block of one more world; those of other processes on the machine mostly have others.
-func nextBlock() int { return (os.Getpid() + int(worlds.Add(1))) % blocks }
+func nextBlock() int { return (os.Getpid() + int(worldCount.Add(1))) % addressBlocks }
 
 // cachesInARow is how many caches share the third number of their addresses.
-const cachesInARow = 250
+const cachesPerSubnet = 250
 
 // cacheHost is where a cache is reached through a door.
 func (w *World) cacheHost(door int, number uint32) string {
-	row := w.block*(256/blocks) + int(number)/cachesInARow%(256/blocks)
-	return fmt.Sprintf("127.%d.%d.%d", 30+door, row, number%cachesInARow+1)
+	subnet := w.addressBlock*(256/addressBlocks) + int(number)/cachesPerSubnet%(256/addressBlocks)
+	return fmt.Sprintf("127.%d.%d.%d", 30+door, subnet, number%cachesPerSubnet+1)
 }
 
-func (w *World) agentHost(proxy int) string   { return fmt.Sprintf("127.28.%d.%d", w.block, proxy+1) }
-func (w *World) originHost(door int) string   { return fmt.Sprintf("127.29.%d.%d", door, w.block+1) }
-func (w *World) controlHost(proxy int) string { return fmt.Sprintf("127.26.%d.%d", w.block, proxy+1) }
+func (w *World) agentHost(proxy int) string {
+	return fmt.Sprintf("127.28.%d.%d", w.addressBlock, proxy+1)
+}
+func (w *World) originHost(door int) string {
+	return fmt.Sprintf("127.29.%d.%d", door, w.addressBlock+1)
+}
+func (w *World) controlHost(proxy int) string {
+	return fmt.Sprintf("127.26.%d.%d", w.addressBlock, proxy+1)
+}
 
 // ProxyAddr finds an address for a proxy, ControlAddr one for its operators' calls.
 func (w *World) ProxyAddr(proxy int) (string, error) {
-	return Free(fmt.Sprintf("127.27.%d.%d", w.block, proxy+1))
+	return FreeAddr(fmt.Sprintf("127.27.%d.%d", w.addressBlock, proxy+1))
 }
 
-func (w *World) ControlAddr(proxy int) (string, error) { return Free(w.controlHost(proxy)) }
+func (w *World) ControlAddr(proxy int) (string, error) { return FreeAddr(w.controlHost(proxy)) }
 
 // addr is where a cache is reached through a door now.
 func (c *Cache) addr(door int) string {
@@ -46,14 +52,14 @@
 	return c.addrs[door]
 }
 
-func (c *Cache) allAddrs() []string {
+func (c *Cache) addresses() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return slices.Clone(c.addrs)
 }
 
 // listenAgain listens at an address that was in use before, or, if another has its port by now, at another port there.
-func (w *World) listenAgain(addr string, listen func(addr string) (net.Listener, error)) (net.Listener, error) {
+func (w *World) relisten(addr string, listen func(addr string) (net.Listener, error)) (net.Listener, error) {
 	l, err := listen(addr)
 	if !errors.Is(err, syscall.EADDRINUSE) {
 		return l, err
--- a/lab/world/addresses_test.go
+++ b/lab/world/addresses_test.go
@@ -28,8 +28,8 @@
 // Worlds beside each other do not share addresses.
 func TestWorldsHaveBlocksOfTheirOwn(t *testing.T) {
 	seen := map[string]bool{}
-	for range blocks {
-		w := &World{block: nextBlock()}
+	for range addressBlocks {
+		w := &World{addressBlock: nextBlock()}
 		for _, number := range []uint32{1, 250, 251, 3200, 6400} {
 			host := w.cacheHost(0, number)
 			if seen[host] || net.ParseIP(host) == nil {
--- a/lab/world/registry.go
+++ b/lab/world/registry.go
@@ -19,15 +19,15 @@
 
 // Registry is what the list of caches says, and when each proxy's agent has it.
 type Registry struct {
-	Bytes atomic.Int64 // of lists, written to all proxies
+	BytesSent atomic.Int64 // of lists, written to all proxies
 
-	w      *World
-	mu     sync.Mutex
-	agents []*Agent
-	state  []entry // by server number; 0 is the origin
+	world   *World
+	mu      sync.Mutex
+	agents  []*Agent
+	entries []cacheEntry // by server number; 0 is the origin
 }
 
-type entry struct {
+type cacheEntry struct {
 	Number  uint32
 	ID      string
 	Zone    int
@@ -41,26 +41,26 @@
 type Agent struct {
 	Addr string
 
-	reg     *Registry
-	zone    int
-	door    int
-	server  *http.Server
-	mu      sync.Mutex
-	version uint64
-	whole   uint64 // watches on older versions get the whole list
-	entries map[uint32]entry
-	since   map[uint32]uint64 // the version that an entry last changed with
-	news    []entry           // come, and not yet taken
-	silent  bool
-	empty   bool
-	hidden  map[int]bool // zones whose caches this list lacks, though they run
-	late    time.Duration
-	changed chan struct{}
-	life    uint32
-	told    map[uint32]uint32
+	registry       *Registry
+	zone           int
+	listenerIndex  int
+	server         *http.Server
+	mu             sync.Mutex
+	version        uint64
+	oldestDiffBase uint64 // watches on older versions get the whole list
+	entries        map[uint32]cacheEntry
+	changedIn      map[uint32]uint64 // the version that an entry last changed with
+	pending        []cacheEntry      // come, and not yet taken
+	silent         bool
+	empty          bool
+	hiddenZones    map[int]bool // zones whose caches this list lacks, though they run
+	extraDelay     time.Duration
+	changed        chan struct{}
+	incarnation    uint32
+	announced      map[uint32]uint32
 }
 
-func newRegistry(w *World) *Registry { return &Registry{w: w} }
+func newRegistry(w *World) *Registry { return &Registry{world: w} }
 
 func (r *Registry) close() {
 	for _, a := range r.agents {
@@ -69,45 +69,45 @@
 }
 
 // set has news of a cache; each agent learns it late, and not all at the same moment.
-func (r *Registry) set(c *Cache, state uint32) {
+func (r *Registry) publishState(c *Cache, state uint32) {
 	kind, started := "std", int64(0)
 	if c.Small {
 		kind = "small"
 	}
 	c.mu.Lock()
-	if c.started >= 0 {
-		started = r.w.start.Add(c.started).UnixMilli()
+	if c.startedAt >= 0 {
+		started = r.world.start.Add(c.startedAt).UnixMilli()
 	}
 	c.mu.Unlock()
-	e := entry{Number: c.Number, ID: c.Name, Zone: c.Zone, Kind: kind, State: state, Started: started}
+	e := cacheEntry{Number: c.Number, ID: c.Name, Zone: c.Zone, Kind: kind, State: state, Started: started}
 	r.mu.Lock()
-	for len(r.state) <= int(c.Number) {
-		r.state = append(r.state, entry{})
+	for len(r.entries) <= int(c.Number) {
+		r.entries = append(r.entries, cacheEntry{})
 	}
-	e.version = r.state[c.Number].version + 1
-	r.state[c.Number] = e
+	e.version = r.entries[c.Number].version + 1
+	r.entries[c.Number] = e
 	agents := append([]*Agent(nil), r.agents...)
 	r.mu.Unlock()
 	for i, a := range agents {
 		a.mu.Lock()
-		late := a.late
+		late := a.extraDelay
 		a.mu.Unlock()
-		span := time.Duration(float64(r.w.Exp.List.Late.Std()+late) * (0.5 + 0.5*r.w.draw(uint64(c.Number), uint32(i), fmt.Sprint("late", e.version))))
-		time.AfterFunc(span, func() { a.hear(e) })
+		span := time.Duration(float64(r.world.Experiment.Discovery.Delay.Std()+late) * (0.5 + 0.5*r.world.random(uint64(c.Number), uint32(i), fmt.Sprint("late", e.version))))
+		time.AfterFunc(span, func() { a.deliver(e) })
 	}
 }
 
 // Agent opens one for a proxy in a zone. It begins with the list as it is.
-func (r *Registry) Agent(n int) (*Agent, error) {
-	zone, at := r.w.Exp.ZoneOf(n), r.w.doorOf(n)
-	l, err := r.w.listen(r.w.agentHost(n)+":0", r.w.doors()[at], r.w.listEnd(zone))
+func (r *Registry) NewAgent(n int) (*Agent, error) {
+	zone, at := r.world.Experiment.ZoneOfProxy(n), r.world.proxyGroupOf(n)
+	l, err := r.world.listen(r.world.agentHost(n)+":0", r.world.proxyGroups()[at], r.world.registryEndpoint(zone))
 	if err != nil {
 		return nil, err
 	}
-	a := &Agent{Addr: l.Addr().String(), reg: r, zone: zone, door: at, entries: map[uint32]entry{}, since: map[uint32]uint64{}, changed: make(chan struct{}),
-		version: 1, whole: 1, told: map[uint32]uint32{}}
+	a := &Agent{Addr: l.Addr().String(), registry: r, zone: zone, listenerIndex: at, entries: map[uint32]cacheEntry{}, changedIn: map[uint32]uint64{}, changed: make(chan struct{}),
+		version: 1, oldestDiffBase: 1, announced: map[uint32]uint32{}}
 	r.mu.Lock()
-	for _, e := range r.state {
+	for _, e := range r.entries {
 		if e.Number > 0 {
 			a.entries[e.Number] = e
 		}
@@ -119,126 +119,126 @@
 	return a, nil
 }
 
-const askAgain = 100 * time.Millisecond // of a replica whose way to another site is cut
+const cutRetryInterval = 100 * time.Millisecond // of a replica whose way to another site is cut
 
 // hear has news come from a cache's site to the agent's; over a cut way it waits.
-func (a *Agent) hear(e entry) {
-	w := a.reg.w
-	if w.Ways != nil && e.Zone != a.zone && w.Ways.Cut(w.listEnd(e.Zone), w.listEnd(a.zone)) {
-		time.AfterFunc(askAgain, func() { a.hear(e) })
+func (a *Agent) deliver(e cacheEntry) {
+	w := a.registry.world
+	if w.Links != nil && e.Zone != a.zone && w.Links.IsCut(w.registryEndpoint(e.Zone), w.registryEndpoint(a.zone)) {
+		time.AfterFunc(cutRetryInterval, func() { a.deliver(e) })
 		return
 	}
-	a.learn(e)
+	a.enqueue(e)
 }
 
-func (a *Agent) learn(e entry) {
+func (a *Agent) enqueue(e cacheEntry) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.news = append(a.news, e)
-	switch every := a.reg.w.Exp.List.Every.Std(); {
+	a.pending = append(a.pending, e)
+	switch every := a.registry.world.Experiment.Discovery.BatchInterval.Std(); {
 	case every == 0:
-		a.publish()
-	case len(a.news) == 1:
+		a.applyPending()
+	case len(a.pending) == 1:
 		time.AfterFunc(every, func() {
 			a.mu.Lock()
 			defer a.mu.Unlock()
-			a.publish()
+			a.applyPending()
 		})
 	}
 }
 
 // publish takes all news into one version; the mutex is held.
-func (a *Agent) publish() {
+func (a *Agent) applyPending() {
 	changed := false
-	for _, e := range a.news {
+	for _, e := range a.pending {
 		if a.entries[e.Number].version >= e.version {
 			continue // older news that came late
 		}
 		a.entries[e.Number] = e
-		a.since[e.Number] = a.version + 1
+		a.changedIn[e.Number] = a.version + 1
 		changed = true
 	}
-	a.news = a.news[:0]
+	a.pending = a.pending[:0]
 	if changed {
 		a.version++
-		a.wake()
+		a.notifyWatches()
 	}
 }
 
-func (a *Agent) wake() {
+func (a *Agent) notifyWatches() {
 	close(a.changed)
 	a.changed = make(chan struct{})
 }
 
 // Set changes how the agent fares.
-func (a *Agent) Set(silent, empty bool, late time.Duration) {
+func (a *Agent) SetFault(silent, empty bool, late time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.silent, a.late = silent, late
+	a.silent, a.extraDelay = silent, late
 	if a.empty != empty {
 		a.empty = empty
 		a.version++
-		a.whole = a.version
+		a.oldestDiffBase = a.version
 	}
-	a.wake()
+	a.notifyWatches()
 }
 
 // Hide has the list lack a zone's caches, or name them again.
-func (a *Agent) Hide(zone int, hidden bool) {
+func (a *Agent) HideZone(zone int, hidden bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.hidden == nil {
-		a.hidden = map[int]bool{}
+	if a.hiddenZones == nil {
+		a.hiddenZones = map[int]bool{}
 	}
-	a.hidden[zone] = hidden
+	a.hiddenZones[zone] = hidden
 	a.version++
-	a.whole = a.version
-	a.wake()
+	a.oldestDiffBase = a.version
+	a.notifyWatches()
 }
 
 // Life says which life of its proxy asks from now on, for the ledger.
-func (a *Agent) Life(life uint32) {
+func (a *Agent) SetIncarnation(life uint32) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.life, a.told = life, map[uint32]uint32{}
+	a.incarnation, a.announced = life, map[uint32]uint32{}
 }
 
 type instance struct {
-	ID      string  `json:"instanceId"`
-	Addr    string  `json:"hostPort"`
-	Zone    string  `json:"zone"`
-	Kind    string  `json:"machineType"`
-	Cell    int     `json:"cell"`
-	Cycle   string  `json:"lifecycle"`
-	Weight  float64 `json:"weight"`
-	Started int64   `json:"startedAtMs"`
+	ID        string  `json:"instanceId"`
+	Addr      string  `json:"hostPort"`
+	Zone      string  `json:"zone"`
+	Kind      string  `json:"machineType"`
+	Cell      int     `json:"cell"`
+	Lifecycle string  `json:"lifecycle"`
+	Weight    float64 `json:"weight"`
+	Started   int64   `json:"startedAtMs"`
 }
 
-var cycles = []string{"active", "leaving", "left"}
+var lifecycles = []string{"active", "leaving", "left"}
 
 // List is the whole list as the agent has it; a proxy may be started with it.
 func (a *Agent) List() map[string]any {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.list()
+	return a.fullDocument()
 }
 
 // changes are the entries that are newer than a version; the mutex is held.
-func (a *Agent) changes(index uint64) map[string]any {
-	all := []instance{}
-	caches := a.reg.w.Caches()
-	for n, since := range a.since {
-		if e := a.entries[n]; since > index && !a.hidden[e.Zone] {
-			all = append(all, a.instance(e, caches[n-1]))
+func (a *Agent) diffDocument(index uint64) map[string]any {
+	instances := []instance{}
+	caches := a.registry.world.Caches()
+	for n, since := range a.changedIn {
+		if e := a.entries[n]; since > index && !a.hiddenZones[e.Zone] {
+			instances = append(instances, a.instance(e, caches[n-1]))
 		}
 	}
-	slices.SortFunc(all, func(x, y instance) int { return strings.Compare(x.ID, y.ID) })
-	return map[string]any{"generation": a.version, "reset": false, "instances": all}
+	slices.SortFunc(instances, func(x, y instance) int { return strings.Compare(x.ID, y.ID) })
+	return map[string]any{"generation": a.version, "reset": false, "instances": instances}
 }
 
-func (a *Agent) list() map[string]any {
-	all := []instance{}
-	caches := a.reg.w.Caches()
+func (a *Agent) fullDocument() map[string]any {
+	instances := []instance{}
+	caches := a.registry.world.Caches()
 	for n := uint32(1); !a.empty && n < 1<<16 && len(a.entries) > 0; n++ {
 		e, ok := a.entries[n]
 		if !ok {
@@ -247,20 +247,20 @@
 			}
 			continue
 		}
-		if e.State != ledger.StateOut && !a.hidden[e.Zone] {
-			all = append(all, a.instance(e, caches[n-1]))
+		if e.State != ledger.StateOut && !a.hiddenZones[e.Zone] {
+			instances = append(instances, a.instance(e, caches[n-1]))
 		}
 	}
-	all = append(all, instance{ID: "origin", Addr: a.reg.w.Origin.addrs[a.door], Zone: a.reg.w.Exp.Zones.Names[0], Kind: "origin", Cycle: "active", Weight: 1})
-	return map[string]any{"generation": a.version, "reset": true, "instances": all}
+	instances = append(instances, instance{ID: "origin", Addr: a.registry.world.Origin.addrs[a.listenerIndex], Zone: a.registry.world.Experiment.Zones.Names[0], Kind: "origin", Lifecycle: "active", Weight: 1})
+	return map[string]any{"generation": a.version, "reset": true, "instances": instances}
 }
 
-func (a *Agent) instance(e entry, c *Cache) instance {
+func (a *Agent) instance(e cacheEntry, c *Cache) instance {
 	weight := 1.0
 	if c.Small {
 		weight = 0.5
 	}
-	return instance{ID: e.ID, Addr: c.addr(a.door), Zone: a.reg.w.Exp.Zones.Names[e.Zone], Kind: e.Kind, Cycle: cycles[e.State],
+	return instance{ID: e.ID, Addr: c.addr(a.listenerIndex), Zone: a.registry.world.Experiment.Zones.Names[e.Zone], Kind: e.Kind, Lifecycle: lifecycles[e.State],
 		Weight: weight, Started: e.Started}
 }
 
@@ -278,14 +278,14 @@
 		silent, changed, version := a.silent, a.changed, a.version
 		if !silent && (err != nil || version != index) {
 			var doc map[string]any
-			if err == nil && index >= a.whole && index < version {
-				doc = a.changes(index)
+			if err == nil && index >= a.oldestDiffBase && index < version {
+				doc = a.diffDocument(index)
 			} else {
-				doc = a.list()
+				doc = a.fullDocument()
 			}
-			a.tell()
+			a.recordAnnounced()
 			a.mu.Unlock()
-			a.send(out, doc)
+			a.writeDocument(out, doc)
 			return
 		}
 		a.mu.Unlock()
@@ -298,53 +298,53 @@
 				<-r.Context().Done()
 				return
 			}
-			a.send(out, map[string]any{"generation": version, "reset": false, "instances": []instance{}})
+			a.writeDocument(out, map[string]any{"generation": version, "reset": false, "instances": []instance{}})
 			return
 		}
 	}
 }
 
 // send writes a document, and counts its bytes.
-func (a *Agent) send(out io.Writer, doc map[string]any) {
+func (a *Agent) writeDocument(out io.Writer, doc map[string]any) {
 	text, _ := json.Marshal(doc) // maps and structs of plain fields
-	a.reg.Bytes.Add(int64(len(text)))
+	a.registry.BytesSent.Add(int64(len(text)))
 	out.Write(text)
 }
 
 // tell books what this answer says of each server, where it says something new.
-func (a *Agent) tell() {
+func (a *Agent) recordAnnounced() {
 	for n, e := range a.entries {
 		state := e.State
 		// Where operators have told proxies to doubt such a list, one that names nothing is no word that all have gone.
-		if a.empty && a.reg.w.Exp.Proxies.Doubt == 0 {
+		if a.empty && a.registry.world.Experiment.Proxies.DoubtShare == 0 {
 			state = ledger.StateOut
 		} else if a.empty {
 			continue
 		}
-		if a.hidden[e.Zone] {
+		if a.hiddenZones[e.Zone] {
 			state = ledger.StateOut
 		}
-		if was, known := a.told[n]; a.life > 0 && (!known && state != ledger.StateActive || known && was != state) {
-			a.reg.w.Book.Append(ledger.Record{Kind: ledger.StateAnnounced, At: a.reg.w.Now(), A: a.life, B: n, C: state})
+		if previous, known := a.announced[n]; a.incarnation > 0 && (!known && state != ledger.StateActive || known && previous != state) {
+			a.registry.world.Ledger.Append(ledger.Record{Kind: ledger.StateAnnounced, At: a.registry.world.Now(), A: a.incarnation, B: n, C: state})
 		}
-		a.told[n] = state
+		a.announced[n] = state
 	}
 }
 
 // Pick draws count (or a share) of some, from the run's seed and a fault's number.
-func Pick[T any](seed, n uint64, all []T, count int, share float64) []T {
-	all = append([]T(nil), all...)
-	rand.New(rand.NewPCG(seed, n)).Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
+func Pick[T any](seed, n uint64, items []T, count int, share float64) []T {
+	items = append([]T(nil), items...)
+	rand.New(rand.NewPCG(seed, n)).Shuffle(len(items), func(i, j int) { items[i], items[j] = items[j], items[i] })
 	if share > 0 {
-		count = int(share*float64(len(all)) + 0.5)
+		count = int(share*float64(len(items)) + 0.5)
 	} else if count == 0 {
 		count = 1
 	}
-	return all[:min(count, len(all))]
+	return items[:min(count, len(items))]
 }
 
 // Free finds an address on loopback that nobody listens on.
-func Free(host string) (string, error) {
+func FreeAddr(host string) (string, error) {
 	l, err := net.Listen("tcp", host+":0")
 	if err != nil {
 		return "", err
--- a/lab/world/store.go
+++ b/lab/world/store.go
@@ -6,69 +6,69 @@
 )
 
 // store is a cache's content: bounded by bytes, the longest unused goes first.
-type store struct {
-	mu    sync.Mutex
-	bytes int
-	most  int
-	order *list.List // of kept, the latest used in front
-	at    map[string]*list.Element
+type valueStore struct {
+	mu       sync.Mutex
+	bytes    int
+	maxBytes int
+	lru      *list.List // of kept, the latest used in front
+	elements map[string]*list.Element
 }
 
-type kept struct {
+type storedValue struct {
 	key  string
 	size int
 }
 
-func newStore(most int) *store {
-	return &store{most: most, order: list.New(), at: map[string]*list.Element{}}
+func newStore(most int) *valueStore {
+	return &valueStore{maxBytes: most, lru: list.New(), elements: map[string]*list.Element{}}
 }
 
-func (s *store) has(key string) bool {
+func (s *valueStore) has(key string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	e := s.at[key]
+	e := s.elements[key]
 	if e != nil {
-		s.order.MoveToFront(e)
+		s.lru.MoveToFront(e)
 	}
 	return e != nil
 }
 
-func (s *store) put(key string, size int) {
+func (s *valueStore) put(key string, size int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if e := s.at[key]; e != nil {
-		s.bytes += size - e.Value.(kept).size
-		e.Value = kept{key, size}
-		s.order.MoveToFront(e)
+	if e := s.elements[key]; e != nil {
+		s.bytes += size - e.Value.(storedValue).size
+		e.Value = storedValue{key, size}
+		s.lru.MoveToFront(e)
 	} else {
-		s.at[key] = s.order.PushFront(kept{key, size})
+		s.elements[key] = s.lru.PushFront(storedValue{key, size})
 		s.bytes += size
 	}
-	for s.bytes > s.most && s.order.Len() > 1 {
-		e := s.order.Back()
-		k := s.order.Remove(e).(kept)
-		delete(s.at, k.key)
+	for s.bytes > s.maxBytes && s.lru.Len() > 1 {
+		e := s.lru.Back()
+		k := s.lru.Remove(e).(storedValue)
+		delete(s.elements, k.key)
 		s.bytes -= k.size
 	}
 }
 
-func (s *store) drop(key string) {
+func (s *valueStore) remove(key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if e := s.at[key]; e != nil {
-		s.bytes -= s.order.Remove(e).(kept).size
-		delete(s.at, key)
+	if e := s.elements[key]; e != nil {
+		s.bytes -= s.lru.Remove(e).(storedValue).size
+		delete(s.elements, key)
 	}
 }
 
 // flush voids a share of what is kept; draw tells by key.
-func (s *store) flush(gone func(key string) bool) {
+func (s *valueStore) removeIf(remove func(key string) bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for key, e := range s.at {
-		if gone(key) {
-			s.bytes -= s.order.Remove(e).(kept).size
-			delete(s.at, key)
+	for key, e := range s.elements {
+		if remove(key) {
+			s.bytes -= s.lru.Remove(e).(storedValue).size
+			delete(s.elements, key)
 		}
 	}
 }
--- a/lab/world/world_test.go
+++ b/lab/world/world_test.go
@@ -103,13 +103,13 @@
 	for mode, want := range map[string][2]int{"all": {0, 0}, "queued": {1, 0}, "none": {1, 1}} {
 		w, done := stand(t, "caches.cancel=\""+mode+"\"", "caches.mode=\"through\"")
 		c := w.Caches()[0]
-		w.Exp.Categories[0].Work = experiment.Duration(time.Hour)
+		w.Experiment.Categories[0].Work = experiment.Duration(time.Hour)
 		nc, _ := dial(t, c)
 		io.WriteString(nc, get("aa", "01")+get("ab", "02")) // the second waits behind the first
-		until(t, "one runs, one waits", func() bool { r, q := c.station.load(); return r == 1 && q == 1 })
+		until(t, "one runs, one waits", func() bool { r, q := c.queue.load(); return r == 1 && q == 1 })
 		nc.Close()
 		until(t, "the connection's end is seen", func() bool { return c.Connections() == 0 })
-		until(t, mode, func() bool { r, q := c.station.load(); return [2]int{r, q} == want })
+		until(t, mode, func() bool { r, q := c.queue.load(); return [2]int{r, q} == want })
 		if all := done(); count(all, ledger.PushEnded, ledger.EndConnLost) != 2 {
 			t.Errorf("%s: %v", mode, all)
 		}
@@ -151,11 +151,11 @@
 // What an agent says counts as told when it has said it, not before; a silent one says nothing.
 func TestTheListIsToldWhenItIsAnswered(t *testing.T) {
 	w, done := stand(t)
-	a, err := w.Reg.Agent(0)
+	a, err := w.Registry.NewAgent(0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	a.Life(1)
+	a.SetIncarnation(1)
 	list := func(query string) (doc struct {
 		Generation uint64
 		Instances  []instance
@@ -179,7 +179,7 @@
 	next := list(fmt.Sprintf("?index=%d&wait=5000", first.Generation))
 	cycles := func(all []instance) (states string) {
 		for _, i := range all {
-			states += i.Cycle + " "
+			states += i.Lifecycle + " "
 		}
 		return states
 	}
@@ -189,7 +189,7 @@
 	if got := cycles(list("").Instances); got != "leaving active active " {
 		t.Errorf("%q", got)
 	}
-	a.Set(true, false, 0)
+	a.SetFault(true, false, 0)
 	if r, err := (&http.Client{Timeout: 200 * time.Millisecond}).Get("http://" + a.Addr + "/catalog/members"); err == nil {
 		t.Errorf("a silent agent answered: %v", r.Status)
 	}
--- a/strict/strict.go
+++ b/strict/strict.go
@@ -14,18 +14,18 @@
 	if path != "" {
 		path += ":"
 	}
-	d := toml.NewDecoder(strings.NewReader(text))
-	d.DisallowUnknownFields()
-	err := d.Decode(into)
+	decoder := toml.NewDecoder(strings.NewReader(text))
+	decoder.DisallowUnknownFields()
+	err := decoder.Decode(into)
 	var missing *toml.StrictMissingError
 	var wrong *toml.DecodeError
 	switch {
 	case errors.As(err, &missing):
-		row, _ := missing.Errors[0].Position()
-		return fmt.Errorf("%s%d: %s: unknown field", path, row, strings.Join(missing.Errors[0].Key(), "."))
+		line, _ := missing.Errors[0].Position()
+		return fmt.Errorf("%s%d: %s: unknown field", path, line, strings.Join(missing.Errors[0].Key(), "."))
 	case errors.As(err, &wrong):
-		row, _ := wrong.Position()
-		return fmt.Errorf("%s%d: %s: %s", path, row, strings.Join(wrong.Key(), "."), wrong.Error())
+		line, _ := wrong.Position()
+		return fmt.Errorf("%s%d: %s: %s", path, line, strings.Join(wrong.Key(), "."), wrong.Error())
 	case err != nil:
 		return fmt.Errorf("%s %w", path, err)
 	}
@@ -35,7 +35,7 @@
 // Lines finds where each field stands, for what is found after decoding: "table.key", or "table[2].key" in the third table of
 // its name.
 func Lines(text string) map[string]int {
-	at, table, seen := map[string]int{}, "", map[string]int{}
+	lines, table, seen := map[string]int{}, "", map[string]int{}
 	for i, line := range strings.Split(text, "\n") {
 		line = strings.TrimSpace(line)
 		switch key, _, ok := strings.Cut(line, "="); {
@@ -43,13 +43,13 @@
 			name := strings.Trim(line, "[] ")
 			table = fmt.Sprintf("%s[%d].", name, seen[name])
 			seen[name]++
-			at[strings.TrimSuffix(table, ".")] = i + 1
+			lines[strings.TrimSuffix(table, ".")] = i + 1
 		case strings.HasPrefix(line, "["):
 			table = strings.Trim(line, "[] ") + "."
-			at[strings.TrimSuffix(table, ".")] = i + 1
+			lines[strings.TrimSuffix(table, ".")] = i + 1
 		case ok && !strings.HasPrefix(line, "#"):
-			at[table+strings.TrimSpace(key)] = i + 1
+			lines[table+strings.TrimSpace(key)] = i + 1
 		}
 	}
-	return at
+	return lines
 }
