--- a/lab/ways/conn.go
+++ b/lab/ways/conn.go
@@ -9,45 +9,56 @@
 )
 
 const (
-	chunkSize = 16 << 10
-	maxChunks = 64 // pieces on their way in each direction; the sender waits for more
+	chunkSize = 16 << 10 // bytes read at once
+	maxChunks = 64       // chunks in transit in each direction, before a writer blocks
 )
 
-// Conn is the lab's end of a connection: what comes and goes passes the ways between far and near.
+// Conn is the laboratory's end of a connection. Its data is subject to the rules between the two endpoints.
 type Conn struct {
 	net.Conn
-	rules             *RuleTable
-	remote, local     Endpoint
-	silent            bool // it came up, and never says or hears anything
-	inbound, outbound direction
-	closed            chan struct{}
-	closeOnce         sync.Once
-	readEnded         chan struct{}
-	readErr           error // why nothing more comes, once that is closed
+	rules     *RuleTable
+	remote    Endpoint
+	local     Endpoint
+	silent    bool // carries no data in either direction
+	inbound   direction
+	outbound  direction
+	closed    chan struct{} // closed by Close
+	closeOnce sync.Once
+	readEnded chan struct{} // closed when the underlying connection has ended
+	readErr   error         // why it has ended; valid once readEnded is closed
 }
 
+// chunk is data in transit.
 type chunk struct {
 	data       []byte
-	sentAt     time.Time // when it was sent
-	releasedAt time.Time // when a thinned way has let it through
+	sentAt     time.Time
+	releasedAt time.Time // when the bandwidth limit lets it pass; zero: no limit applied yet
 }
 
-// pipe is one direction.
+// direction is the state of one direction of a connection.
 type direction struct {
 	queue           chan chunk
-	current         *chunk     // that was taken off the queue
-	rest            []byte     // of a piece that was read in part
-	mu              sync.Mutex // guards what follows, but for free
-	sentAt          time.Time
-	busyUntil       time.Time // a thinned way is busy until then
-	readDeadline    time.Time // a reader's deadline
-	deadlineChanged chan struct{}
+	current         *chunk        // taken off the queue and still in transit
+	rest            []byte        // unread part of a delivered chunk
+	busyUntil       time.Time     // until when the bandwidth limit is used up; not guarded by mu
+	mu              sync.Mutex    // guards the fields below
+	sentAt          time.Time     // of the last delivered chunk
+	readDeadline    time.Time     // zero: none
+	deadlineChanged chan struct{} // closed and replaced when readDeadline changes
 }
 
-// Through has a connection pass the ways between its two ends.
+// Wrap applies the rules between two endpoints to a connection.
 func (t *RuleTable) Wrap(c net.Conn, remote, local Endpoint) *Conn {
 	inboundRule, _ := t.effective(remote, local)
-	k := &Conn{Conn: c, rules: t, remote: remote, local: local, silent: t.draw(inboundRule.SilentShare), closed: make(chan struct{}), readEnded: make(chan struct{})}
+	k := &Conn{
+		Conn:      c,
+		rules:     t,
+		remote:    remote,
+		local:     local,
+		silent:    t.draw(inboundRule.SilentShare),
+		closed:    make(chan struct{}),
+		readEnded: make(chan struct{}),
+	}
 	for _, d := range []*direction{&k.inbound, &k.outbound} {
 		d.queue, d.deadlineChanged = make(chan chunk, maxChunks), make(chan struct{})
 	}
@@ -57,7 +68,7 @@
 	return k
 }
 
-// receive takes bytes off as they come, whatever the way does with them: their time is when they were sent.
+// receive reads data as it arrives, whatever the rules say, so that sentAt is the time at which the peer sent it.
 func (k *Conn) receive() {
 	defer close(k.inbound.queue)
 	for {
@@ -78,8 +89,8 @@
 	}
 }
 
-// wait is how long a piece stays on its way from now on; 0: it is out. cut: until the rules change, which they do by what
-// closes changed.
+// transitDelay returns how much longer a chunk is in transit; 0: it has arrived. cut means that it stays in transit until the rules
+// change, when changed is closed.
 func (k *Conn) transitDelay(d *direction, from, to Endpoint, c *chunk) (remaining time.Duration, cut bool, changed <-chan struct{}) {
 	rule, changed := k.rules.effective(from, to)
 	if rule.Cut {
@@ -99,7 +110,7 @@
 	return max(time.Until(due), 0), false, changed
 }
 
-// Read gives what has come through; Sent tells when that was sent.
+// Read returns data that has passed the link. SentAt returns when the peer sent it.
 func (k *Conn) Read(b []byte) (int, error) {
 	d := &k.inbound
 	for len(d.rest) == 0 {
@@ -121,7 +132,7 @@
 				continue
 			}
 			if queue, changed = nil, rulesChanged; cut {
-				senderClosed = k.readEnded // the sender has closed: what is still on a cut way never comes
+				senderClosed = k.readEnded // data on a cut link is dropped when its sender closes the connection
 			} else {
 				released = time.After(remaining)
 			}
@@ -148,14 +159,14 @@
 	return n, nil
 }
 
-// Sent is when the bytes that were last read were sent.
+// SentAt returns when the peer sent the bytes that were last read.
 func (k *Conn) SentAt() time.Time {
 	k.inbound.mu.Lock()
 	defer k.inbound.mu.Unlock()
 	return k.inbound.sentAt
 }
 
-// SetReadDeadline and SetDeadline are those of a net.Conn, for reads; what is written is not waited for.
+// SetReadDeadline implements net.Conn.
 func (k *Conn) SetReadDeadline(at time.Time) error {
 	k.inbound.mu.Lock()
 	defer k.inbound.mu.Unlock()
@@ -165,13 +176,14 @@
 	return nil
 }
 
+// SetDeadline sets the read deadline alone; see SetWriteDeadline.
 func (k *Conn) SetDeadline(at time.Time) error { return k.SetReadDeadline(at) }
 
-// SetWriteDeadline does nothing. Danger: it would end the connection under what is still on its way, and be taken for the other
-// side's doing.
+// SetWriteDeadline does nothing: a deadline on the underlying connection could expire while data is delayed by a rule, and the
+// time-out would be taken for a fault of the peer.
 func (k *Conn) SetWriteDeadline(time.Time) error { return nil }
 
-// Write sends on its way, and waits only if too much is on it.
+// Write queues data for the link. It blocks only while the link holds maxChunks chunks.
 func (k *Conn) Write(b []byte) (int, error) {
 	select {
 	case <-k.closed:
@@ -189,7 +201,7 @@
 	}
 }
 
-// send has what was written go out, also what was written before the end, unless the way is cut by then.
+// send writes queued data to the underlying connection, data queued before Close included, unless the link is cut then.
 func (k *Conn) send() {
 	defer k.Conn.Close()
 	for closed := false; ; {
@@ -229,7 +241,7 @@
 	}
 }
 
-// Close ends it; what is on its way still goes out.
+// Close closes the connection once the data in transit is written.
 func (k *Conn) Close() error {
 	k.closeOnce.Do(func() {
 		k.rules.subscribe(k, false)
@@ -238,7 +250,7 @@
 	return nil
 }
 
-// Abort ends it with a reset.
+// Abort closes the connection with a TCP reset, and drops the data in transit.
 func (k *Conn) Abort() {
 	if t, ok := k.Conn.(*net.TCPConn); ok {
 		t.SetLinger(0)
@@ -247,17 +259,17 @@
 	k.Close()
 }
 
-// ruled resets a share of the open connections as a rule says.
-func (k *Conn) rulesChanged(put *Rule) {
-	if put != nil && put.ResetShare > 0 && (put.matches(k.remote, k.local) || put.matches(k.local, k.remote)) && k.rules.draw(put.ResetShare) {
+// rulesChanged resets the connection with the probability that a new rule demands.
+func (k *Conn) rulesChanged(added *Rule) {
+	if added != nil && added.ResetShare > 0 && (added.matches(k.remote, k.local) || added.matches(k.local, k.remote)) && k.rules.draw(added.ResetShare) {
 		k.Abort()
 	}
 }
 
-// ErrCut is a handshake that did not come up.
-var ErrLinkCut = errors.New("the way is cut")
+// ErrLinkCut is returned by Dial when the link was cut until the time-out.
+var ErrLinkCut = errors.New("link is cut")
 
-// Dial connects to another process, unless the way is cut for all the time that it may take.
+// Dial connects to another process. While the link is cut it waits, up to the time-out.
 func (t *RuleTable) Dial(local, remote Endpoint, addr string, timeout time.Duration) (net.Conn, error) {
 	for expired := time.After(timeout); t.IsCut(local, remote); {
 		_, changed := t.effective(local, remote)
--- a/lab/ways/listen.go
+++ b/lab/ways/listen.go
@@ -9,28 +9,30 @@
 )
 
 const (
-	acceptBacklog     = 512
-	maxFillerConns    = 8
+	acceptBacklog     = 512                   // handshakes that may wait to be accepted
+	maxFillerConns    = 8                     // connections opened to fill the accept queue
 	fillerDialTimeout = 20 * time.Millisecond // a handshake on loopback takes far less
+	synRetryPeriod    = 30 * time.Second      // after a cut, in which a kernel may still complete a handshake that was started during it
 )
 
-// Listener gives connections that pass the ways from far. While a way between the two is cut no handshake comes up: the
-// kernel drops the first packet of each when the queue of those to accept is full, so the listener makes that queue one
-// place long, fills it with connections of its own, and takes none off until the ways are whole again.
+// Listener accepts connections that are subject to the rules between two endpoints. While the link is cut no handshake may
+// complete. The kernel drops SYN packets when the accept queue is full, so the listener shortens that queue to one place, fills it
+// with connections of its own, and accepts none until the link is restored.
 type Listener struct {
 	*net.TCPListener
-	rules         *RuleTable
-	remote, local Endpoint
+	rules  *RuleTable
+	remote Endpoint
+	local  Endpoint
 
 	mu          sync.Mutex
-	blocked     bool
-	restoredAt  time.Time // the ways were cut until then
-	fillerConns []net.Conn
+	blocked     bool       // the accept queue is filled
+	restoredAt  time.Time  // end of the last cut
+	fillerConns []net.Conn // open connections that fill the accept queue
 	closed      chan struct{}
 	closeOnce   sync.Once
 }
 
-// Listen opens a listener at a loopback address for connections from far to near.
+// Listen opens a listener at a loopback address for connections from a remote endpoint to a local one.
 func (t *RuleTable) Listen(addr string, remote, local Endpoint) (net.Listener, error) {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -42,7 +44,7 @@
 	return k, nil
 }
 
-// ruled shuts or opens the queue as the rules say now.
+// rulesChanged blocks or unblocks the accept queue according to the rules.
 func (l *Listener) rulesChanged(*Rule) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -63,7 +65,7 @@
 	l.fillBacklog()
 }
 
-// fill fills the queue; the mutex is held.
+// fillBacklog opens connections until the accept queue is full; the caller holds the mutex.
 func (l *Listener) fillBacklog() {
 	for range maxFillerConns {
 		c, err := net.DialTimeout("tcp", l.Addr().String(), fillerDialTimeout)
@@ -74,14 +76,14 @@
 	}
 }
 
-// queue sets how many handshakes may wait to be accepted.
+// setBacklog sets the length of the accept queue.
 func (l *Listener) setBacklog(n int) {
 	if raw, err := l.SyscallConn(); err == nil {
 		raw.Control(func(fd uintptr) { syscall.Listen(int(fd), n) })
 	}
 }
 
-// Accept waits for the next connection.
+// Accept waits for the next connection that the rules let through.
 func (l *Listener) Accept() (net.Conn, error) {
 	for {
 		c, err := l.TCPListener.Accept()
@@ -89,11 +91,11 @@
 			return nil, err
 		}
 		held := false
-		for l.rules.IsCut(l.remote, l.local) { // one that fills the queue, or came up just before: it stays where it is
+		for l.rules.IsCut(l.remote, l.local) { // a filler connection, or one completed just before the cut: hold it
 			held = true
 			_, changed := l.rules.effective(l.remote, l.local)
 			l.mu.Lock()
-			if l.blocked { // it has left a place free
+			if l.blocked { // accepting it has freed a place in the queue
 				l.fillBacklog()
 			}
 			l.mu.Unlock()
@@ -104,8 +106,8 @@
 				return nil, net.ErrClosed
 			}
 		}
-		// Danger: what a proxy wrote on a connection that stood in the queue, or on one that comes up when its kernel tries again,
-		// seconds after the cut, it may have long given up. Those that fill the queue are closed by then as well.
+		// A proxy may have given up a connection that waited in the queue, or that completed when its kernel repeated the SYN seconds
+		// after the cut. Data written on it must not be read as if it were just sent. This also drops closed filler connections.
 		if (held || l.recentlyRestored()) && !remoteOpen(c) {
 			c.Close()
 			continue
@@ -119,16 +121,15 @@
 	}
 }
 
-const synRetryPeriod = 30 * time.Second // by the kernel, after a cut
-
+// recentlyRestored reports whether handshakes that were started during a cut may still complete.
 func (l *Listener) recentlyRestored() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return time.Since(l.restoredAt) < synRetryPeriod
 }
 
-// open tells whether the process at the other end of a connection still holds it open, by asking the kernel for that one socket
-// (a table of all takes tens of milliseconds where there are many). What can't be told is taken for open.
+// remoteOpen reports whether the peer process still holds a connection open. It asks the kernel for that one socket, as listing all of
+// them takes tens of milliseconds where there are many. If the kernel gives no answer the connection counts as open.
 func remoteOpen(c net.Conn) bool {
 	remote, ok := c.RemoteAddr().(*net.TCPAddr)
 	local, _ := c.LocalAddr().(*net.TCPAddr)
@@ -140,8 +141,8 @@
 		return true
 	}
 	defer syscall.Close(fd)
-	// A header (length, type, flags) and inet_diag_req_v2 of linux/inet_diag.h, for one socket without a cookie.
-	request := make([]byte, 16+56)
+	// A netlink header (length, type, flags) and an inet_diag_req_v2 of linux/inet_diag.h, for one socket without a cookie.
+	request := make([]byte, netlinkHeaderSize+inetDiagRequestSize)
 	binary.NativeEndian.PutUint32(request, uint32(len(request)))
 	binary.NativeEndian.PutUint16(request[4:], sockDiagByFamily)
 	binary.NativeEndian.PutUint16(request[6:], syscall.NLM_F_REQUEST)
@@ -162,14 +163,21 @@
 		return true
 	case binary.NativeEndian.Uint16(answer[4:]) == sockDiagByFamily:
 		return answer[17] == tcpEstablished
-	default: // an error: there is none
+	default: // a netlink error: ENOENT means that there is no such socket
 		return syscall.Errno(-int32(binary.NativeEndian.Uint32(answer[16:]))) != syscall.ENOENT
 	}
 }
 
-const netlinkInetDiag, sockDiagByFamily, tcpEstablished = 4, 20, 1 // of linux/netlink.h, sock_diag.h, tcp_states.h
+// Constants of the kernel's interface.
+const (
+	netlinkInetDiag     = 4  // NETLINK_INET_DIAG, linux/netlink.h
+	sockDiagByFamily    = 20 // SOCK_DIAG_BY_FAMILY, linux/sock_diag.h
+	tcpEstablished      = 1  // TCP_ESTABLISHED, net/tcp_states.h
+	netlinkHeaderSize   = 16 // struct nlmsghdr
+	inetDiagRequestSize = 56 // struct inet_diag_req_v2
+)
 
-// Close ends the listener.
+// Close closes the listener and its filler connections.
 func (l *Listener) Close() error {
 	l.closeOnce.Do(func() {
 		l.rules.subscribe(l, false)
--- a/lab/ways/ways.go
+++ b/lab/ways/ways.go
@@ -1,9 +1,9 @@
-// Package ways is the network between every two processes of a run, as the lab may break it: each direction of each pair
-// can be cut, delayed, thinned, and connections can be lost or reset. Processes are real and know nothing of it: what
-// passes through here are the lab's own ends of their connections.
+// Package ways injects network faults between the processes of a run. Each direction of each link, that is of each pair of
+// endpoints, can be cut, delayed or limited in bandwidth, and connections can be made silent or reset. The processes under test are
+// not involved: the faults act on the laboratory's own ends of their connections.
 //
-// A way that is cut is silent: handshakes do not come up, bytes stay on it and come late, or never if the sender closes the
-// connection meanwhile. What was still on its way then is dropped, as a reset does.
+// A cut link is silent: TCP handshakes do not complete, and data waits until the link is restored. Data is dropped if its sender
+// closes the connection meanwhile, as a reset does.
 package ways
 
 import (
@@ -13,31 +13,35 @@
 	"time"
 )
 
-// Endpoint is where a connection begins or ends: a place, and the process there.
+// Endpoint is one end of a connection, or a pattern for such ends.
 type Endpoint struct {
-	Site int    // its number; Any: none in particular
-	Name string // of the process; empty: each
+	Site int    // number of the site; AnySite matches all
+	Name string // of the process; empty matches all
 }
 
-// Any is each site.
+// AnySite matches all sites.
 const AnySite = -1
 
+// matches reports whether the pattern e matches x.
 func (e Endpoint) matches(x Endpoint) bool {
 	return (e.Site == AnySite || e.Site == x.Site) && (e.Name == "" || e.Name == x.Name)
 }
 
-// Rule is what is wrong with all ways between two ends. It holds for connections whoever opens them.
+// Rule is a fault on the links between two patterns of endpoints. It applies to connections whichever end opens them.
 type Rule struct {
-	Local, Remote     Endpoint
-	OtherSites        bool          // Far is each site but that of Near
-	Outbound, Inbound bool          // from Near to Far, from Far to Near
-	Cut               bool          // nothing comes through
-	Delay             time.Duration // is added
-	BytesPerSecond    float64       // bytes a second on each connection; 0: as many as come
-	SilentShare       float64       // share of new connections that come up and then are silent
-	ResetShare        float64       // share of connections that are reset, the open ones at once and new ones as they come
+	Local          Endpoint
+	Remote         Endpoint
+	OtherSites     bool          // the remote ends are those at all sites but that of Local; Remote is not used
+	Outbound       bool          // applies from local to remote ends
+	Inbound        bool          // applies from remote to local ends
+	Cut            bool          // no data passes
+	Delay          time.Duration // added one way
+	BytesPerSecond float64       // bandwidth of each connection; 0: no limit
+	SilentShare    float64       // share of new connections that are accepted and then carry no data, from 0 to 1
+	ResetShare     float64       // share of connections that are reset, open ones at once and new ones as they are accepted, from 0 to 1
 }
 
+// matches reports whether the rule applies to data from one endpoint to another.
 func (r *Rule) matches(from, to Endpoint) bool {
 	isRemote := func(e Endpoint) bool {
 		return r.OtherSites && e.Site != r.Local.Site || !r.OtherSites && r.Remote.matches(e)
@@ -45,24 +49,27 @@
 	return r.Outbound && r.Local.matches(from) && isRemote(to) || r.Inbound && r.Local.matches(to) && isRemote(from)
 }
 
-// RuleTable is all rules of a run. Its methods may be called from any goroutine.
+// RuleTable holds the rules in force. It is safe for concurrent use.
 type RuleTable struct {
 	mu        sync.Mutex
 	rules     []*Rule
 	random    *rand.Rand
-	changed   chan struct{} // closed with each change
+	changed   chan struct{} // closed and replaced at each change
 	listeners map[ruleListener]bool
 }
 
-// changes is whom a change of the rules is told to, beside those that wait for it: once for each rule that is put.
-type ruleListener interface{ rulesChanged(put *Rule) }
+// ruleListener is called at each change of the rules: with the rule that was added, or nil when one was removed.
+type ruleListener interface{ rulesChanged(added *Rule) }
 
-// New makes a table without rules. What is drawn hangs on the seed and on the order of connections.
+// randomStream keeps the choices of this package independent of other uses of the same seed.
+const randomStream = 0x77617973
+
+// New makes a table without rules. Random choices depend on the seed and on the order of connections.
 func New(seed uint64) *RuleTable {
-	return &RuleTable{random: rand.New(rand.NewPCG(seed, 0x77617973)), changed: make(chan struct{}), listeners: map[ruleListener]bool{}}
+	return &RuleTable{random: rand.New(rand.NewPCG(seed, randomStream)), changed: make(chan struct{}), listeners: map[ruleListener]bool{}}
 }
 
-// Put adds a rule until the function that it gives is called.
+// Add adds a rule, until remove is called.
 func (t *RuleTable) Add(r Rule) (remove func()) {
 	t.update(func() { t.rules = append(t.rules, &r) }, &r)
 	return func() {
@@ -70,6 +77,7 @@
 	}
 }
 
+// update changes the rules, and returns once all listeners have handled the change.
 func (t *RuleTable) update(apply func(), added *Rule) {
 	t.mu.Lock()
 	apply()
@@ -80,7 +88,7 @@
 		listeners = append(listeners, c)
 	}
 	t.mu.Unlock()
-	var notified sync.WaitGroup // all at once: a listener takes tens of milliseconds to be sure that it is shut
+	var notified sync.WaitGroup // notified concurrently: blocking a listener takes tens of milliseconds
 	for _, c := range listeners {
 		notified.Add(1)
 		go func() {
@@ -91,6 +99,7 @@
 	notified.Wait()
 }
 
+// subscribe adds a listener or removes it.
 func (t *RuleTable) subscribe(c ruleListener, on bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -101,7 +110,7 @@
 	}
 }
 
-// is sums what is wrong in one direction now; changed is closed once it may be otherwise.
+// effective combines all rules for one direction; changed is closed at the next change of the rules.
 func (t *RuleTable) effective(from, to Endpoint) (sum Rule, changed <-chan struct{}) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -118,20 +127,21 @@
 	return sum, t.changed
 }
 
-// Cut tells whether a connection from one end to the other can't come up now: either direction is enough.
+// IsCut reports whether no connection can be opened between two endpoints: a cut of either direction prevents the handshake.
 func (t *RuleTable) IsCut(from, to Endpoint) bool {
 	forward, _ := t.effective(from, to)
 	backward, _ := t.effective(to, from)
 	return forward.Cut || backward.Cut
 }
 
-// Faulty tells whether anything is wrong between two ends.
+// Faulty reports whether any rule applies between two endpoints.
 func (t *RuleTable) Faulty(a, b Endpoint) bool {
 	forward, _ := t.effective(a, b)
 	backward, _ := t.effective(b, a)
 	return forward != Rule{} || backward != Rule{}
 }
 
+// draw returns true with a probability.
 func (t *RuleTable) draw(share float64) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/lab/ways/ways_test.go
+++ b/lab/ways/ways_test.go
@@ -11,7 +11,7 @@
 
 var client, server = Endpoint{0, "p"}, Endpoint{1, "s"}
 
-// echo answers each line.
+// startEcho runs a server that echoes each line, and returns its address.
 func startEcho(t *testing.T, w *RuleTable) string {
 	l, err := w.Listen("127.0.0.1:0", client, server)
 	if err != nil {
@@ -32,7 +32,7 @@
 	return l.Addr().String()
 }
 
-// ask sends a line on a connection and gives what came within the time, "" for nothing.
+// exchange sends a line and returns the line received within a time, or "".
 func exchange(c net.Conn, text string, within time.Duration) string {
 	fmt.Fprintln(c, text)
 	c.SetReadDeadline(time.Now().Add(within))
@@ -40,20 +40,27 @@
 	return line
 }
 
-const longTimeout, shortDelay = 5 * time.Second, 100 * time.Millisecond
+const (
+	longTimeout = 5 * time.Second
+	shortDelay  = 100 * time.Millisecond
+)
 
+// Each kind of fault must affect open and new connections as documented, and end with its rule; data held by a cut must arrive late
+// and in order.
 func TestRules(t *testing.T) {
-	rule := func(near, far Endpoint, r Rule) Rule {
-		r.Local, r.Remote, r.Outbound = near, far, true
+	rule := func(local, remote Endpoint, r Rule) Rule {
+		r.Local, r.Remote, r.Outbound = local, remote, true
 		return r
 	}
 	cut := Rule{Cut: true}
 	for _, c := range []struct {
-		name       string
-		rule       Rule
-		open, anew bool // an open connection is answered, a new one comes up
+		name string
+		rule Rule
+		open bool // an open connection is answered
+		anew bool // a new connection is opened
 	}{
-		{"there", rule(Endpoint{0, ""}, Endpoint{1, ""}, cut), false, false}, {"back", rule(server, client, cut), false, false},
+		{"there", rule(Endpoint{0, ""}, Endpoint{1, ""}, cut), false, false},
+		{"back", rule(server, client, cut), false, false},
 		{"into the site", Rule{Local: Endpoint{0, ""}, OtherSites: true, Inbound: true, Cut: true}, false, false},
 		{"another site", Rule{Local: Endpoint{2, ""}, OtherSites: true, Outbound: true, Inbound: true, Cut: true}, true, true},
 		{"slow", rule(client, server, Rule{Delay: 3 * shortDelay}), false, true},
@@ -70,26 +77,27 @@
 			}
 			end := w.Add(c.rule)
 			if got := exchange(old, "b", shortDelay); (got == "b\n") != c.open {
-				t.Errorf("open: %q", got)
+				t.Errorf("open connection during the fault: got %q", got)
 			}
 			k, err := net.DialTimeout("tcp", addr, shortDelay)
 			if came := err == nil && (c.rule.SilentShare+c.rule.ResetShare == 0 || exchange(k, "c", shortDelay) == "c\n"); came != c.anew {
-				t.Errorf("anew: %v", err)
+				t.Errorf("new connection during the fault: %v", err)
 			}
 			end()
-			if c.rule.Cut && !c.open { // what was held comes late, in its order
+			if c.rule.Cut && !c.open { // data held by the cut arrives late and in order
 				if got := exchange(old, "d", longTimeout); got != "b\n" {
-					t.Errorf("held: %q", got)
+					t.Errorf("data held by the cut: got %q, want \"b\\n\"", got)
 				}
 			}
 			if k, err = net.DialTimeout("tcp", addr, longTimeout); err != nil || exchange(k, "e", longTimeout) != "e\n" {
-				t.Errorf("after: %v", err)
+				t.Errorf("new connection after the fault: %v", err)
 			}
 		})
 	}
 }
 
-// Danger: a server that reads late what a client had sent before it gave up would be said to have been pushed to too late.
+// Data held by a cut must keep the time at which it was sent, and must be dropped when its sender closes the connection. Otherwise a
+// push would be judged as sent after its client had given up.
 func TestWhatIsOnACutWayWhenItsSenderClosesNeverComes(t *testing.T) {
 	w := New(1)
 	l, _ := w.Listen("127.0.0.1:0", client, server)
@@ -103,16 +111,17 @@
 	end()
 	one := make([]byte, 1)
 	if n, err := k.Read(one); n != 1 || err != nil || k.(*Conn).SentAt().Sub(at) > shortDelay/2 {
-		t.Errorf("%d, %v, sent %v later", n, err, k.(*Conn).SentAt().Sub(at))
+		t.Errorf("read %d bytes, %v, sent %v after the write", n, err, k.(*Conn).SentAt().Sub(at))
 	}
 	defer w.Add(Rule{Local: client, Remote: server, Outbound: true, Cut: true})()
 	fmt.Fprint(c, "y")
 	c.Close()
 	if n, err := k.Read(one); n != 0 || err == nil {
-		t.Errorf("%d bytes, %v", n, err)
+		t.Errorf("read %d bytes, %v, after the sender closed", n, err)
 	}
 }
 
+// A write deadline must not end a connection whose data is delayed by a rule.
 func TestAWriteIsNotEndedByItsDeadline(t *testing.T) {
 	w := New(1)
 	c, err := w.Dial(client, server, startEcho(t, New(2)), longTimeout)
@@ -126,6 +135,7 @@
 	}
 }
 
+// Dial must fail with ErrLinkCut after its time-out, and succeed if the link is restored before.
 func TestDialOverACutWay(t *testing.T) {
 	w := New(1)
 	addr := startEcho(t, New(2))
@@ -140,7 +150,8 @@
 	}
 }
 
-// Danger: a connection that comes up in the moment of the cut holds what is written on it until the way is whole again.
+// A connection that completes at the moment of a cut waits in the accept queue. If its client has closed it by the end of the cut, the
+// server must not read the data written on it.
 func TestWhatWaitsInTheQueueOfACutWayIsNotTakenLate(t *testing.T) {
 	w := New(1)
 	l, _ := w.Listen("127.0.0.1:0", client, server)
@@ -164,7 +175,7 @@
 	}
 }
 
-// A socket is told to be open from the other end, by the kernel's table, until its process closes it.
+// remoteOpen must see a connection as open until the peer process closes it.
 func TestOpen(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -175,10 +186,10 @@
 	k, _ := l.Accept()
 	defer k.Close()
 	if !remoteOpen(k) {
-		t.Error("an open one is taken for closed")
+		t.Error("an open connection is reported as closed")
 	}
 	c.Close()
 	if remoteOpen(k) {
-		t.Error("a closed one is taken for open")
+		t.Error("a closed connection is reported as open")
 	}
 }
--- a/lab/world/addresses.go
+++ b/lab/world/addresses.go
@@ -10,55 +10,65 @@
 	"syscall"
 )
 
-// blocks are parts of the loopback range that worlds are given in turn. Danger: two worlds at the same addresses, as tests that run beside each other
-// make them, take each other's ports while a cache or a proxy is down.
+// addressBlocks is the number of parts of the loopback range that worlds use in turn. Worlds that run concurrently, as tests
+// make them, must not share addresses: they would take each other's ports while a cache or a proxy is down.
 const addressBlocks = 8
 
+// worldCount counts the worlds of this process.
 var worldCount atomic.Uint32
 
-// nextBlock is the block of one more world; those of other processes on the machine mostly have others.
+// nextBlock returns the address block of the next world. It starts from the process id, so that concurrent processes rarely share
+// a block.
 func nextBlock() int { return (os.Getpid() + int(worldCount.Add(1))) % addressBlocks }
 
-// cachesInARow is how many caches share the third number of their addresses.
+// cachesPerSubnet is the number of caches that share the first three octets of their addresses.
 const cachesPerSubnet = 250
 
-// cacheHost is where a cache is reached through a door.
-func (w *World) cacheHost(door int, number uint32) string {
+// cacheHost returns the IP address at which the proxies of a group reach a cache.
+func (w *World) cacheHost(group int, number uint32) string {
 	subnet := w.addressBlock*(256/addressBlocks) + int(number)/cachesPerSubnet%(256/addressBlocks)
-	return fmt.Sprintf("127.%d.%d.%d", 30+door, subnet, number%cachesPerSubnet+1)
+	return fmt.Sprintf("127.%d.%d.%d", 30+group, subnet, number%cachesPerSubnet+1)
 }
 
+// agentHost returns the IP address of a proxy's discovery agent.
 func (w *World) agentHost(proxy int) string {
 	return fmt.Sprintf("127.28.%d.%d", w.addressBlock, proxy+1)
 }
-func (w *World) originHost(door int) string {
-	return fmt.Sprintf("127.29.%d.%d", door, w.addressBlock+1)
+
+// originHost returns the IP address at which the proxies of a group reach the origin.
+func (w *World) originHost(group int) string {
+	return fmt.Sprintf("127.29.%d.%d", group, w.addressBlock+1)
 }
+
+// controlHost returns the IP address of a proxy's control port.
 func (w *World) controlHost(proxy int) string {
 	return fmt.Sprintf("127.26.%d.%d", w.addressBlock, proxy+1)
 }
 
-// ProxyAddr finds an address for a proxy, ControlAddr one for its operators' calls.
+// ProxyAddr returns a free address at which a proxy may listen for clients.
 func (w *World) ProxyAddr(proxy int) (string, error) {
 	return FreeAddr(fmt.Sprintf("127.27.%d.%d", w.addressBlock, proxy+1))
 }
 
+// ControlAddr returns a free address for a proxy's control port.
 func (w *World) ControlAddr(proxy int) (string, error) { return FreeAddr(w.controlHost(proxy)) }
 
-// addr is where a cache is reached through a door now.
-func (c *Cache) addr(door int) string {
+// addr returns the address at which the proxies of a group reach the cache now.
+func (c *Cache) addr(group int) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.addrs[door]
+	return c.addrs[group]
 }
 
+// addresses returns a copy of the cache's addresses, by proxy group.
 func (c *Cache) addresses() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return slices.Clone(c.addrs)
 }
 
-// listenAgain listens at an address that was in use before, or, if another has its port by now, at another port there.
+// relisten listens at an address that was used before. If another process has taken the port meanwhile, it uses another port of
+// the same IP address.
 func (w *World) relisten(addr string, listen func(addr string) (net.Listener, error)) (net.Listener, error) {
 	l, err := listen(addr)
 	if !errors.Is(err, syscall.EADDRINUSE) {
--- a/lab/world/addresses_test.go
+++ b/lab/world/addresses_test.go
@@ -5,14 +5,14 @@
 	"testing"
 )
 
-// Danger: a cache is down, and another process has its port by the time it comes back.
+// Guards against a restart that fails because another process took the port while the cache was down.
 func TestACacheWhosePortIsTakenComesBackAtAnother(t *testing.T) {
-	w, done := stand(t)
+	w, done := newTestWorld(t)
 	defer done()
 	c := w.Caches()[0]
-	was := c.addr(0)
+	previous := c.addr(0)
 	c.Kill()
-	l, err := net.Listen("tcp", was)
+	l, err := net.Listen("tcp", previous)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -20,12 +20,12 @@
 	if err := c.Restart(); err != nil {
 		t.Fatal(err)
 	}
-	if c.addr(0) == was || !c.Alive() {
-		t.Errorf("it listens at %s, which was %s", c.addr(0), was)
+	if c.addr(0) == previous || !c.Alive() {
+		t.Errorf("alive: %v; it listens at %s, whose port is taken", c.Alive(), c.addr(0))
 	}
 }
 
-// Worlds beside each other do not share addresses.
+// Concurrent worlds must not share addresses.
 func TestWorldsHaveBlocksOfTheirOwn(t *testing.T) {
 	seen := map[string]bool{}
 	for range addressBlocks {
@@ -33,7 +33,7 @@
 		for _, number := range []uint32{1, 250, 251, 3200, 6400} {
 			host := w.cacheHost(0, number)
 			if seen[host] || net.ParseIP(host) == nil {
-				t.Errorf("%s twice, or no address", host)
+				t.Errorf("%q is used twice or is no IP address", host)
 			}
 			seen[host] = true
 		}
--- a/lab/world/cache.go
+++ b/lab/world/cache.go
@@ -16,14 +16,14 @@
 
 // Cache is a stand-in for one cache server. It speaks RESP2: CACHE.GET and CACHE.SET as proxies send them.
 type Cache struct {
-	Number uint32
-	Name   string
-	Zone   int
-	Small  bool
+	Number uint32 // server number in the ledger, from 1
+	Name   string // id in the list of caches
+	Zone   int    // index of its zone
+	Small  bool   // of machine kind "small": half the cores
 	Faults Faults
 
 	world *World
-	addrs []string // by the door of who connects
+	addrs []string // by proxy group
 	queue *workQueue
 	store *valueStore
 
@@ -31,49 +31,59 @@
 	alive        bool
 	listeners    []net.Listener
 	conns        map[*conn]bool
-	startedAt    time.Duration // -1: long ago
-	loadReport   string
+	startedAt    time.Duration // on the run's clock; negative: fully warmed up before the run
+	loadReport   string        // last report, as sent
 	reportedAt   time.Time
-	RefusedConns atomic.Int64 // connections over its cap
-	replaced     atomic.Bool  // another process has its address
+	RefusedConns atomic.Int64 // connections refused above the limit
+	replaced     atomic.Bool  // a successor has its addresses
 }
 
-// Faults are what can be wrong with a server; shares from 0 to 1, read at any time.
+// Faults are the faults injected into a server. They may change at any time.
 type Faults struct {
-	mu                                      sync.Mutex
-	Slow, Refuse, Corrupt, DropAnswer, Fail float64
-	Unresponsive                            bool
+	mu           sync.Mutex
+	Slow         float64 // factor on the work of each request; 1 or less: none
+	Refuse       float64 // share of requests refused, from 0 to 1
+	Corrupt      float64 // share of values sent corrupted, from 0 to 1
+	DropAnswer   float64 // share of requests without an answer, from 0 to 1
+	Fail         float64 // share of requests that fail at once, from 0 to 1
+	Unresponsive bool    // no request is answered
 }
 
-// Set changes what is wrong.
+// Update changes the faults atomically.
 func (f *Faults) Update(change func(*Faults)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	change(f)
 }
 
-func (f *Faults) snapshot() (slow, refuse, spoil, lose, failing float64, vanished bool) {
+// snapshot returns all faults as they are now.
+func (f *Faults) snapshot() (slow, refuse, corrupt, dropAnswer, fail float64, unresponsive bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.Slow, f.Refuse, f.Corrupt, f.DropAnswer, f.Fail, f.Unresponsive
 }
 
-// link is one connection from a proxy.
+// conn is a connection from a proxy to a cache.
 type conn struct {
-	cache       *Cache
-	netConn     net.Conn
-	number      uint32
-	zone        int
-	answers     chan chan []byte // in the order of their commands
-	mu          sync.Mutex
-	pendingJobs map[*job]bool
-	openPushes  map[uint64]bool // pushes without their end
-	closed      bool
-	done        chan struct{}
+	cache      *Cache
+	netConn    net.Conn
+	number     uint32           // connection number in the ledger
+	zone       int              // of the proxy
+	answers    chan chan []byte // in the order of their commands
+	mu         sync.Mutex
+	jobs       map[*job]bool   // queued or running
+	openPushes map[uint64]bool // ops received, whose end is not recorded yet
+	closed     bool
+	done       chan struct{} // closed by cleanUp
 }
 
-const maxPipelined = 64 // commands on one connection that wait for their answers
+// maxPipelined is the number of commands on one connection that may wait for their answers.
+const maxPipelined = 64
+
+// pipelineTimeout is how long a connection with maxPipelined commands may go without taking an answer.
+const pipelineTimeout = time.Minute
 
+// newCache makes a cache that is not started yet.
 func newCache(w *World, number uint32, name string, zone int) *Cache {
 	settings := w.Experiment.Caches
 	c := &Cache{Number: number, Name: name, Zone: zone, world: w, conns: map[*conn]bool{}, startedAt: -1}
@@ -90,7 +100,7 @@
 	return c
 }
 
-// share is the part of its capacity that a cache has by now.
+// capacityShare returns the share of its full speed that the cache has now: it rises from the cold share to 1 during the warm-up.
 func (c *Cache) capacityShare() float64 {
 	settings := c.world.Experiment.Caches
 	c.mu.Lock()
@@ -102,7 +112,8 @@
 	return min(settings.ColdCapacityShare+(1-settings.ColdCapacityShare)*float64(c.world.Now()-started)/float64(max(settings.WarmUp.Std(), 1)), 1)
 }
 
-// up starts the process: its listeners, its name in the list.
+// start opens the listeners and announces the cache as active. With cold set it starts empty and in slow start. It does nothing
+// when the cache runs or has been replaced.
 func (c *Cache) start(cold bool) error {
 	if c.replaced.Load() {
 		return nil
@@ -117,13 +128,13 @@
 		c.store = newStore(c.store.maxBytes)
 	}
 	restarted := len(c.addrs) > 0
-	for n, d := range c.world.proxyGroups() {
-		addr := c.world.cacheHost(n, c.Number) + ":0"
+	for group, g := range c.world.proxyGroups() {
+		addr := c.world.cacheHost(group, c.Number) + ":0"
 		if restarted {
-			addr = c.addrs[n]
+			addr = c.addrs[group]
 		}
 		l, err := c.world.relisten(addr, func(addr string) (net.Listener, error) {
-			return c.world.listen(addr, d, ways.Endpoint{Site: c.Zone, Name: c.Name})
+			return c.world.listen(addr, g, ways.Endpoint{Site: c.Zone, Name: c.Name})
 		})
 		if err != nil {
 			c.mu.Unlock()
@@ -131,11 +142,11 @@
 		}
 		c.listeners = append(c.listeners, l)
 		if restarted {
-			c.addrs[n] = l.Addr().String()
+			c.addrs[group] = l.Addr().String()
 		} else {
 			c.addrs = append(c.addrs, l.Addr().String())
 		}
-		go c.accept(l, d.zone)
+		go c.accept(l, g.zone)
 	}
 	c.alive = true
 	c.mu.Unlock()
@@ -148,7 +159,8 @@
 	return nil
 }
 
-// down ends the process; its connections are reset. The list learns it by itself, late.
+// stop closes the listeners, resets all connections and drops all work. Unless the whole world shuts down, the list of caches
+// learns of it after its delay.
 func (c *Cache) stop(shutdown bool) {
 	c.mu.Lock()
 	c.alive = false
@@ -156,9 +168,9 @@
 		l.Close()
 	}
 	c.listeners = nil
-	links := c.openLinks()
+	conns := c.openConns()
 	c.mu.Unlock()
-	for _, l := range links {
+	for _, l := range conns {
 		l.abort()
 	}
 	c.queue.clear()
@@ -167,66 +179,79 @@
 	}
 }
 
-// Kill ends it without a word; Restart brings it back cold and empty under its id.
-func (c *Cache) Kill()          { c.stop(false) }
+// Kill ends the cache at once, as a crash does.
+func (c *Cache) Kill() { c.stop(false) }
+
+// Restart starts a killed cache cold and empty under the same id.
 func (c *Cache) Restart() error { return c.start(true) }
 
-// Drain lets the list say that it is leaving; it finishes what it has, and goes after a span.
+// Drain announces the cache as leaving. It goes on serving until it is killed.
 func (c *Cache) Drain() { c.world.Registry.publishState(c, ledger.StateLeaving) }
 
-// Alive tells whether its process runs.
+// Alive reports whether the cache runs.
 func (c *Cache) Alive() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.alive
 }
 
-// Reset resets all its connections.
+// ResetConns closes all connections with a TCP reset.
 func (c *Cache) ResetConns() {
 	c.mu.Lock()
-	links := c.openLinks()
+	conns := c.openConns()
 	c.mu.Unlock()
-	for _, l := range links {
+	for _, l := range conns {
 		l.abort()
 	}
 }
 
-// Still lets it stand still for a span.
-func (c *Cache) Pause(span time.Duration) { c.queue.pauseUntil(time.Now().Add(span)) }
+// Pause stops the cache from starting work for a duration.
+func (c *Cache) Pause(duration time.Duration) { c.queue.pauseUntil(time.Now().Add(duration)) }
 
-// Flush voids a share of its copies, the same keys at every cache.
+// Invalidate removes a share of the keys, the same keys at every cache.
 func (c *Cache) Invalidate(share float64) {
 	c.mu.Lock()
-	s := c.store
+	store := c.store
 	c.mu.Unlock()
-	s.removeIf(func(key string) bool { return c.world.random(OpNumber(key), 0, "flush") < share })
+	store.removeIf(func(key string) bool { return c.world.random(OpNumber(key), 0, "flush") < share })
 }
 
-// Fill puts keys into it, as if it had been asked for them lately.
+// Prefill stores a key as the most recently used one.
 func (c *Cache) Prefill(key string, size int) { c.store.put(key, size) }
 
-// Connections are how many are open.
+// Connections returns the number of open connections.
 func (c *Cache) Connections() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.conns)
 }
 
-func (c *Cache) openLinks() (openLinks []*conn) {
-	for l := range c.conns {
-		openLinks = append(openLinks, l)
+// openConns lists the open connections; the caller holds the mutex.
+func (c *Cache) openConns() []*conn {
+	var conns []*conn
+	for connection := range c.conns {
+		conns = append(conns, connection)
 	}
-	return openLinks
+	return conns
 }
 
+// accept serves the connections of one listener, and resets those above the limit.
 func (c *Cache) accept(l net.Listener, zone int) {
 	for {
-		nc, err := l.Accept()
+		netConn, err := l.Accept()
 		if err != nil {
 			return
 		}
-		k := &conn{cache: c, netConn: nc, number: c.world.nextConnNumber(), zone: zone, answers: make(chan chan []byte, maxPipelined), pendingJobs: map[*job]bool{},
-			openPushes: map[uint64]bool{}, done: make(chan struct{})}
+		k := &conn{
+			cache:      c,
+			netConn:    netConn,
+			number:     c.world.nextConnNumber(),
+			zone:       zone,
+			answers:    make(chan chan []byte, maxPipelined),
+			jobs:       map[*job]bool{},
+			openPushes: map[uint64]bool{},
+			done:       make(chan struct{}),
+		}
 		c.mu.Lock()
 		if !c.alive || len(c.conns) >= c.world.Experiment.Caches.MaxConns {
 			c.mu.Unlock()
@@ -244,7 +269,7 @@
 	}
 }
 
-// reset ends a connection with a reset, as a process that dies does.
+// abort closes the connection with a TCP reset, as the kernel does for a process that dies.
 func (k *conn) abort() {
 	switch c := k.netConn.(type) {
 	case *ways.Conn:
@@ -256,26 +281,26 @@
 	k.netConn.Close()
 }
 
-// read takes commands; each counts from its last byte.
+// readCommands handles commands until the connection ends. A command counts as received once its last byte is read.
 func (k *conn) readCommands() {
 	defer k.cleanUp()
-	r := redcon.NewReader(k.netConn)
+	reader := redcon.NewReader(k.netConn)
 	for {
-		cmd, err := r.ReadCommand()
+		cmd, err := reader.ReadCommand()
 		if err != nil {
 			return
 		}
 		answer := make(chan []byte, 1)
 		select {
 		case k.answers <- answer:
-		case <-time.After(time.Minute): // whoever pipes so many and reads nothing
+		case <-time.After(pipelineTimeout): // the peer pipelines commands and reads no answers
 			return
 		}
 		k.cache.handleCommand(k, cmd, answer)
 	}
 }
 
-// write sends answers in the order of their commands.
+// writeAnswers sends the answers in the order of their commands.
 func (k *conn) writeAnswers() {
 	for {
 		select {
@@ -294,7 +319,7 @@
 	}
 }
 
-// end takes back what nobody waits for any more.
+// cleanUp closes the connection, cancels its jobs as configured, and records its open pushes as lost with the connection.
 func (k *conn) cleanUp() {
 	k.netConn.Close()
 	k.cache.mu.Lock()
@@ -302,8 +327,8 @@
 	k.cache.mu.Unlock()
 	k.mu.Lock()
 	k.closed = true
-	jobs, open := k.pendingJobs, k.openPushes
-	k.pendingJobs, k.openPushes = map[*job]bool{}, map[uint64]bool{}
+	jobs, openPushes := k.jobs, k.openPushes
+	k.jobs, k.openPushes = map[*job]bool{}, map[uint64]bool{}
 	k.mu.Unlock()
 	close(k.done)
 	for j := range jobs {
@@ -311,12 +336,12 @@
 			k.cache.queue.cancel(j, cancel == "all")
 		}
 	}
-	for op := range open {
+	for op := range openPushes {
 		k.cache.world.Ledger.Append(ledger.Record{Kind: ledger.PushEnded, At: k.cache.world.Now(), Op: op, A: k.cache.Number, B: k.number, C: ledger.EndConnLost})
 	}
 }
 
-// over books a push's end, once, and hands its answer to who writes; how long the way takes is added.
+// endPush records the end of a push, once, and passes its answer to writeAnswers, after the delay between the zones.
 func (k *conn) endPush(op uint64, outcome uint32, answer chan []byte, text string) {
 	delay := k.cache.world.zoneDelay(k.zone, k.cache.Zone)
 	finish := func() {
@@ -336,7 +361,7 @@
 	}
 }
 
-// words takes a list of names and values apart.
+// parseProps parses "name=value,name=value".
 func parseProps(props string) map[string]string {
 	values := map[string]string{}
 	for _, p := range strings.Split(props, ",") {
@@ -346,7 +371,7 @@
 	return values
 }
 
-// Waiting is how much waits for its cores.
+// QueuedRequests returns the number of requests that wait for a core.
 func (c *Cache) QueuedRequests() int {
 	_, waiting := c.queue.load()
 	return waiting
--- a/lab/world/origin.go
+++ b/lab/world/origin.go
@@ -13,18 +13,19 @@
 	"minttray/lab/ledger"
 )
 
-// Origin is what all caches are filled from. It speaks HTTP/1.1, can take far less than all ops, slows down as work
-// waits, and goes on with work that nobody waits for.
+// Origin is the stand-in for the origin, from which all caches are filled. It speaks HTTP/1.1. Its capacity is far below the whole
+// load, it slows down as its queue grows, and it finishes work whose client has left.
 type Origin struct {
 	Faults  Faults
-	Fetches atomic.Int64
+	Fetches atomic.Int64 // requests received, those of caches included
 
 	world  *World
-	addrs  []string // by the door of who connects
+	addrs  []string // by proxy group
 	server *http.Server
 	queue  *workQueue
 }
 
+// newOrigin starts the origin, with one listener for each proxy group.
 func newOrigin(w *World) (*Origin, error) {
 	o := &Origin{world: w}
 	settings := w.Experiment.Origin
@@ -33,12 +34,15 @@
 		slow, _, _, _, _, _ := o.Faults.snapshot()
 		return 1 / max(slow, 1) / (1 + settings.QueueSlowdown*float64(waiting)/float64(settings.Cores))
 	}
-	o.server = &http.Server{Handler: http.HandlerFunc(o.serve), ReadHeaderTimeout: 10 * time.Second,
+	o.server = &http.Server{
+		Handler:           http.HandlerFunc(o.serve),
+		ReadHeaderTimeout: headerTimeout,
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
 			return context.WithValue(ctx, connContextKey{}, c)
-		}}
-	for n, d := range w.proxyGroups() {
-		l, err := w.listen(w.originHost(n)+":0", d, w.OriginEndpoint())
+		},
+	}
+	for group, g := range w.proxyGroups() {
+		l, err := w.listen(w.originHost(group)+":0", g, w.OriginEndpoint())
 		if err != nil {
 			o.close()
 			return nil, err
@@ -51,12 +55,19 @@
 
 func (o *Origin) close() { o.server.Close() }
 
+const (
+	headerTimeout     = 10 * time.Second // for the header of an HTTP request
+	maxBodyBytes      = 64 << 10         // of a request to the origin
+	maxFilledPerFetch = 2                // caches that store the value of one fetch
+)
+
+// connContextKey is the context key of a request's net.Conn.
 type connContextKey struct{}
 
-// Stop lets it take nothing for a span: what comes waits.
-func (o *Origin) Pause(span time.Duration) { o.queue.pauseUntil(time.Now().Add(span)) }
+// Pause stops the origin from starting work for a duration; requests wait in its queue.
+func (o *Origin) Pause(duration time.Duration) { o.queue.pauseUntil(time.Now().Add(duration)) }
 
-// store notes that a key was written: copies elsewhere are void.
+// invalidateCopies removes a written key from all caches.
 func (o *Origin) invalidateCopies(key string) {
 	for _, c := range o.world.Caches() {
 		c.mu.Lock()
@@ -66,12 +77,13 @@
 	}
 }
 
-// fetch is a cache's own, in the mode through.
+// fetch queues a fetch by a cache in mode "through". It returns false when the queue is full.
 func (o *Origin) fetch(op uint64, done func(ok bool)) bool {
 	o.Fetches.Add(1)
 	return o.queue.offer(&job{work: o.world.drawWork(o.world.Experiment.Origin.Work.Std(), op, 0), done: func() { done(true) }})
 }
 
+// serve handles a request of a proxy, and records it as a push to server 0.
 func (o *Origin) serve(out http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/ping" || r.URL.Path == "/_load" {
 		fmt.Fprint(out, "queue=0")
@@ -79,7 +91,7 @@
 	}
 	key, id := r.URL.Path[1:], r.Header.Get("X-Trace-Id")
 	op := OpNumber(id)
-	_, err := io.ReadAll(http.MaxBytesReader(out, r.Body, 64<<10))
+	_, err := io.ReadAll(http.MaxBytesReader(out, r.Body, maxBodyBytes))
 	if err != nil {
 		out.Header().Set("X-Never-Ran", "1")
 		http.Error(out, err.Error(), http.StatusServiceUnavailable)
@@ -93,15 +105,15 @@
 	if c, ok := r.Context().Value(connContextKey{}).(net.Conn); ok {
 		sent = o.world.sentAt(c)
 	}
-	number := o.world.nextConnNumber() // one push is out on a connection at a time: a number for each tells them apart
+	number := o.world.nextConnNumber() // one for each push: an HTTP/1.1 connection carries one request at a time
 	work := o.world.drawWork(o.world.Experiment.Origin.Work.Std(), op, 0)
 	o.world.recordPush(ledger.Record{At: sent, Op: op, B: number, C: uint32(work / time.Microsecond)}, props)
 	endPush := func(outcome uint32) {
 		o.world.Ledger.Append(ledger.Record{Kind: ledger.PushEnded, At: o.world.Now(), Op: op, B: number, C: outcome})
 	}
 	done := make(chan struct{})
-	_, _, _, lose, failing, vanished := o.Faults.snapshot()
-	if o.world.random(op, 0, "fail") < failing {
+	_, _, _, dropAnswer, fail, unresponsive := o.Faults.snapshot()
+	if o.world.random(op, 0, "fail") < fail {
 		endPush(ledger.EndFailed)
 		http.Error(out, "failed", http.StatusInternalServerError)
 		return
@@ -112,14 +124,14 @@
 		http.Error(out, "full", http.StatusServiceUnavailable)
 		return
 	}
-	if vanished || o.world.random(op, 0, "lose") < lose {
+	if unresponsive || o.world.random(op, 0, "lose") < dropAnswer {
 		<-r.Context().Done()
 		endPush(ledger.EndConnLost)
 		return
 	}
 	select {
 	case <-done:
-	case <-r.Context().Done(): // the work goes on
+	case <-r.Context().Done(): // the queue still finishes the work
 		endPush(ledger.EndConnLost)
 		return
 	}
@@ -130,19 +142,20 @@
 		writeValue(out, Value(key, id, 1))
 		return
 	}
-	if m, ok := o.world.originMisses.LoadAndDelete(id); ok && r.Context().Err() == nil {
-		m.(*missedCaches).mu.Lock()
-		for i, c := range m.(*missedCaches).caches {
-			if i < 2 && c.Alive() {
+	if value, ok := o.world.originMisses.LoadAndDelete(id); ok && r.Context().Err() == nil {
+		value.(*missedCaches).mu.Lock()
+		for i, c := range value.(*missedCaches).caches {
+			if i < maxFilledPerFetch && c.Alive() {
 				c.store.put(key, category.Size)
 			}
 		}
-		m.(*missedCaches).mu.Unlock()
+		value.(*missedCaches).mu.Unlock()
 	}
 	endPush(ledger.EndAnswered)
 	writeValue(out, Value(key, id, category.Size))
 }
 
+// writeValue answers a request with a value.
 func writeValue(out http.ResponseWriter, value string) {
 	out.Header().Set("Content-Length", strconv.Itoa(len(value)))
 	io.WriteString(out, value)
--- a/lab/world/registry.go
+++ b/lab/world/registry.go
@@ -17,47 +17,48 @@
 	"minttray/lab/ledger"
 )
 
-// Registry is what the list of caches says, and when each proxy's agent has it.
+// Registry is the list of caches. It forwards each change to the agents of all proxies after a delay.
 type Registry struct {
-	BytesSent atomic.Int64 // of lists, written to all proxies
+	BytesSent atomic.Int64 // bytes of lists sent to all proxies
 
 	world   *World
 	mu      sync.Mutex
 	agents  []*Agent
-	entries []cacheEntry // by server number; 0 is the origin
+	entries []cacheEntry // by server number; 0 is the origin, which is not registered here
 }
 
+// cacheEntry is one cache in the list.
 type cacheEntry struct {
-	Number  uint32
+	Number  uint32 // server number
 	ID      string
-	Zone    int
-	Kind    string
-	State   uint32
-	Started int64
-	version uint64
+	Zone    int    // index of its zone
+	Kind    string // machine kind
+	State   uint32 // ledger.StateActive, StateLeaving or StateOut
+	Started int64  // Unix time in ms; 0: before the run
+	version uint64 // counts the changes of this entry
 }
 
-// Agent is the discovery agent on one proxy's machine: it answers at once with what it has been sent.
+// Agent is the discovery agent of one proxy. It serves the list of caches as far as it has received it.
 type Agent struct {
-	Addr string
+	Addr string // host and port
 
 	registry       *Registry
-	zone           int
-	listenerIndex  int
+	zone           int // index of its zone
+	listenerIndex  int // proxy group, whose listeners it names
 	server         *http.Server
 	mu             sync.Mutex
-	version        uint64
-	oldestDiffBase uint64 // watches on older versions get the whole list
-	entries        map[uint32]cacheEntry
-	changedIn      map[uint32]uint64 // the version that an entry last changed with
-	pending        []cacheEntry      // come, and not yet taken
-	silent         bool
-	empty          bool
-	hiddenZones    map[int]bool // zones whose caches this list lacks, though they run
-	extraDelay     time.Duration
-	changed        chan struct{}
-	incarnation    uint32
-	announced      map[uint32]uint32
+	version        uint64                // of the list
+	oldestDiffBase uint64                // watches on older versions get the full list
+	entries        map[uint32]cacheEntry // by server number
+	changedIn      map[uint32]uint64     // version of the list in which an entry last changed, by server number
+	pending        []cacheEntry          // received, and not yet part of the list
+	silent         bool                  // fault: answers nothing
+	empty          bool                  // fault: lists no caches
+	hiddenZones    map[int]bool          // fault: zones whose caches it does not list, though they run
+	extraDelay     time.Duration         // fault: added to the delay of each change
+	changed        chan struct{}         // closed when the list or a fault changes
+	incarnation    uint32                // of the proxy that asks; 0: none yet
+	announced      map[uint32]uint32     // state last sent to that incarnation, by server number
 }
 
 func newRegistry(w *World) *Registry { return &Registry{world: w} }
@@ -68,7 +69,8 @@
 	}
 }
 
-// set has news of a cache; each agent learns it late, and not all at the same moment.
+// publishState records a new state of a cache and sends it to all agents. Each receives it after a delay of its own, between half and
+// all of the configured one.
 func (r *Registry) publishState(c *Cache, state uint32) {
 	kind, started := "std", int64(0)
 	if c.Small {
@@ -90,22 +92,33 @@
 	r.mu.Unlock()
 	for i, a := range agents {
 		a.mu.Lock()
-		late := a.extraDelay
+		extraDelay := a.extraDelay
 		a.mu.Unlock()
-		span := time.Duration(float64(r.world.Experiment.Discovery.Delay.Std()+late) * (0.5 + 0.5*r.world.random(uint64(c.Number), uint32(i), fmt.Sprint("late", e.version))))
-		time.AfterFunc(span, func() { a.deliver(e) })
+		share := 0.5 + 0.5*r.world.random(uint64(c.Number), uint32(i), fmt.Sprint("late", e.version))
+		delay := time.Duration(float64(r.world.Experiment.Discovery.Delay.Std()+extraDelay) * share)
+		time.AfterFunc(delay, func() { a.deliver(e) })
 	}
 }
 
-// Agent opens one for a proxy in a zone. It begins with the list as it is.
-func (r *Registry) NewAgent(n int) (*Agent, error) {
-	zone, at := r.world.Experiment.ZoneOfProxy(n), r.world.proxyGroupOf(n)
-	l, err := r.world.listen(r.world.agentHost(n)+":0", r.world.proxyGroups()[at], r.world.registryEndpoint(zone))
+// NewAgent starts the agent of a proxy, with the list as it is now.
+func (r *Registry) NewAgent(proxy int) (*Agent, error) {
+	zone, group := r.world.Experiment.ZoneOfProxy(proxy), r.world.proxyGroupOf(proxy)
+	l, err := r.world.listen(r.world.agentHost(proxy)+":0", r.world.proxyGroups()[group], r.world.registryEndpoint(zone))
 	if err != nil {
 		return nil, err
 	}
-	a := &Agent{Addr: l.Addr().String(), registry: r, zone: zone, listenerIndex: at, entries: map[uint32]cacheEntry{}, changedIn: map[uint32]uint64{}, changed: make(chan struct{}),
-		version: 1, oldestDiffBase: 1, announced: map[uint32]uint32{}}
+	a := &Agent{
+		Addr:           l.Addr().String(),
+		registry:       r,
+		zone:           zone,
+		listenerIndex:  group,
+		entries:        map[uint32]cacheEntry{},
+		changedIn:      map[uint32]uint64{},
+		changed:        make(chan struct{}),
+		version:        1,
+		oldestDiffBase: 1,
+		announced:      map[uint32]uint32{},
+	}
 	r.mu.Lock()
 	for _, e := range r.entries {
 		if e.Number > 0 {
@@ -114,14 +127,15 @@
 	}
 	r.agents = append(r.agents, a)
 	r.mu.Unlock()
-	a.server = &http.Server{Handler: http.HandlerFunc(a.serve), ReadHeaderTimeout: 10 * time.Second}
+	a.server = &http.Server{Handler: http.HandlerFunc(a.serve), ReadHeaderTimeout: headerTimeout}
 	go a.server.Serve(l)
 	return a, nil
 }
 
-const cutRetryInterval = 100 * time.Millisecond // of a replica whose way to another site is cut
+// cutRetryInterval is how often a replica of the list retries to send a change over a cut link to another site.
+const cutRetryInterval = 100 * time.Millisecond
 
-// hear has news come from a cache's site to the agent's; over a cut way it waits.
+// deliver brings a change from the cache's site to the agent. While the link between their sites is cut it retries.
 func (a *Agent) deliver(e cacheEntry) {
 	w := a.registry.world
 	if w.Links != nil && e.Zone != a.zone && w.Links.IsCut(w.registryEndpoint(e.Zone), w.registryEndpoint(a.zone)) {
@@ -131,15 +145,16 @@
 	a.enqueue(e)
 }
 
+// enqueue adds a change to the list, at once or with the next batch.
 func (a *Agent) enqueue(e cacheEntry) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.pending = append(a.pending, e)
-	switch every := a.registry.world.Experiment.Discovery.BatchInterval.Std(); {
-	case every == 0:
+	switch interval := a.registry.world.Experiment.Discovery.BatchInterval.Std(); {
+	case interval == 0:
 		a.applyPending()
 	case len(a.pending) == 1:
-		time.AfterFunc(every, func() {
+		time.AfterFunc(interval, func() {
 			a.mu.Lock()
 			defer a.mu.Unlock()
 			a.applyPending()
@@ -147,12 +162,12 @@
 	}
 }
 
-// publish takes all news into one version; the mutex is held.
+// applyPending makes one new version of the list from all pending changes; the caller holds the mutex.
 func (a *Agent) applyPending() {
 	changed := false
 	for _, e := range a.pending {
 		if a.entries[e.Number].version >= e.version {
-			continue // older news that came late
+			continue // an older change that arrived after a newer one
 		}
 		a.entries[e.Number] = e
 		a.changedIn[e.Number] = a.version + 1
@@ -165,16 +180,17 @@
 	}
 }
 
+// notifyWatches wakes all waiting requests; the caller holds the mutex.
 func (a *Agent) notifyWatches() {
 	close(a.changed)
 	a.changed = make(chan struct{})
 }
 
-// Set changes how the agent fares.
-func (a *Agent) SetFault(silent, empty bool, late time.Duration) {
+// SetFault makes the agent silent, its list empty or its changes late, or ends these faults.
+func (a *Agent) SetFault(silent, empty bool, extraDelay time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.silent, a.extraDelay = silent, late
+	a.silent, a.extraDelay = silent, extraDelay
 	if a.empty != empty {
 		a.empty = empty
 		a.version++
@@ -183,7 +199,7 @@
 	a.notifyWatches()
 }
 
-// Hide has the list lack a zone's caches, or name them again.
+// HideZone removes a zone's caches from the list, or lists them again.
 func (a *Agent) HideZone(zone int, hidden bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -196,13 +212,14 @@
 	a.notifyWatches()
 }
 
-// Life says which life of its proxy asks from now on, for the ledger.
-func (a *Agent) SetIncarnation(life uint32) {
+// SetIncarnation sets which incarnation of the proxy asks from now on, for the records of announced states.
+func (a *Agent) SetIncarnation(incarnation uint32) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.incarnation, a.announced = life, map[uint32]uint32{}
+	a.incarnation, a.announced = incarnation, map[uint32]uint32{}
 }
 
+// instance is a cache or the origin in a document of the discovery protocol.
 type instance struct {
 	ID        string  `json:"instanceId"`
 	Addr      string  `json:"hostPort"`
@@ -214,21 +231,22 @@
 	Started   int64   `json:"startedAtMs"`
 }
 
+// lifecycles are the names of the ledger's server states in the discovery protocol, by state.
 var lifecycles = []string{"active", "leaving", "left"}
 
-// List is the whole list as the agent has it; a proxy may be started with it.
+// List returns the full list as the agent has it, as the initial list of a proxy's configuration.
 func (a *Agent) List() map[string]any {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.fullDocument()
 }
 
-// changes are the entries that are newer than a version; the mutex is held.
-func (a *Agent) diffDocument(index uint64) map[string]any {
+// diffDocument returns the entries that changed after a version; the caller holds the mutex.
+func (a *Agent) diffDocument(since uint64) map[string]any {
 	instances := []instance{}
 	caches := a.registry.world.Caches()
-	for n, since := range a.changedIn {
-		if e := a.entries[n]; since > index && !a.hiddenZones[e.Zone] {
+	for n, changedIn := range a.changedIn {
+		if e := a.entries[n]; changedIn > since && !a.hiddenZones[e.Zone] {
 			instances = append(instances, a.instance(e, caches[n-1]))
 		}
 	}
@@ -236,6 +254,7 @@
 	return map[string]any{"generation": a.version, "reset": false, "instances": instances}
 }
 
+// fullDocument returns all entries that are not out, and the origin; the caller holds the mutex.
 func (a *Agent) fullDocument() map[string]any {
 	instances := []instance{}
 	caches := a.registry.world.Caches()
@@ -251,28 +270,44 @@
 			instances = append(instances, a.instance(e, caches[n-1]))
 		}
 	}
-	instances = append(instances, instance{ID: "origin", Addr: a.registry.world.Origin.addrs[a.listenerIndex], Zone: a.registry.world.Experiment.Zones.Names[0], Kind: "origin", Lifecycle: "active", Weight: 1})
+	instances = append(instances, instance{
+		ID:        "origin",
+		Addr:      a.registry.world.Origin.addrs[a.listenerIndex],
+		Zone:      a.registry.world.Experiment.Zones.Names[0],
+		Kind:      "origin",
+		Lifecycle: "active",
+		Weight:    1,
+	})
 	return map[string]any{"generation": a.version, "reset": true, "instances": instances}
 }
 
+// instance returns the document entry of a cache.
 func (a *Agent) instance(e cacheEntry, c *Cache) instance {
 	weight := 1.0
 	if c.Small {
 		weight = 0.5
 	}
-	return instance{ID: e.ID, Addr: c.addr(a.listenerIndex), Zone: a.registry.world.Experiment.Zones.Names[e.Zone], Kind: e.Kind, Lifecycle: lifecycles[e.State],
-		Weight: weight, Started: e.Started}
+	return instance{
+		ID:        e.ID,
+		Addr:      c.addr(a.listenerIndex),
+		Zone:      a.registry.world.Experiment.Zones.Names[e.Zone],
+		Kind:      e.Kind,
+		Lifecycle: lifecycles[e.State],
+		Weight:    weight,
+		Started:   e.Started,
+	}
 }
 
-// serve answers the whole list, or a watch on it with what has changed. All that the agent has by then counts as told.
+// serve answers a request for the list, or a watch on a version of it: with the changes since, or with an empty change set after the
+// requested wait. The states in an answer are recorded as announced.
 func (a *Agent) serve(out http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != "/catalog/members" {
 		http.NotFound(out, r)
 		return
 	}
 	index, err := strconv.ParseUint(r.URL.Query().Get("index"), 10, 64)
-	wait, _ := strconv.Atoi(r.URL.Query().Get("wait"))
-	until := time.After(time.Duration(min(max(wait, 0), 60000)) * time.Millisecond)
+	waitMillis, _ := strconv.Atoi(r.URL.Query().Get("wait"))
+	timeout := time.After(time.Duration(min(max(waitMillis, 0), maxWatchMillis)) * time.Millisecond)
 	for {
 		a.mu.Lock()
 		silent, changed, version := a.silent, a.changed, a.version
@@ -293,7 +328,7 @@
 		case <-changed:
 		case <-r.Context().Done():
 			return
-		case <-until:
+		case <-timeout:
 			if silent {
 				<-r.Context().Done()
 				return
@@ -304,18 +339,22 @@
 	}
 }
 
-// send writes a document, and counts its bytes.
+// maxWatchMillis is the longest time that a watch may ask to wait.
+const maxWatchMillis = 60_000
+
+// writeDocument sends a document, and counts its bytes.
 func (a *Agent) writeDocument(out io.Writer, doc map[string]any) {
-	text, _ := json.Marshal(doc) // maps and structs of plain fields
+	text, _ := json.Marshal(doc) // cannot fail: maps and structs of plain fields
 	a.registry.BytesSent.Add(int64(len(text)))
 	out.Write(text)
 }
 
-// tell books what this answer says of each server, where it says something new.
+// recordAnnounced records the state of each server in an answer where it differs from what the incarnation was told before; the caller
+// holds the mutex.
 func (a *Agent) recordAnnounced() {
 	for n, e := range a.entries {
 		state := e.State
-		// Where operators have told proxies to doubt such a list, one that names nothing is no word that all have gone.
+		// Proxies that are configured to doubt a list with many caches missing do not take an empty list for the end of all caches.
 		if a.empty && a.registry.world.Experiment.Proxies.DoubtShare == 0 {
 			state = ledger.StateOut
 		} else if a.empty {
@@ -331,7 +370,7 @@
 	}
 }
 
-// Pick draws count (or a share) of some, from the run's seed and a fault's number.
+// Pick selects count items, or a share of them, at random from the run's seed and a fault's number. With neither it selects one.
 func Pick[T any](seed, n uint64, items []T, count int, share float64) []T {
 	items = append([]T(nil), items...)
 	rand.New(rand.NewPCG(seed, n)).Shuffle(len(items), func(i, j int) { items[i], items[j] = items[j], items[i] })
@@ -343,7 +382,7 @@
 	return items[:min(count, len(items))]
 }
 
-// Free finds an address on loopback that nobody listens on.
+// FreeAddr returns an address with a free port on a loopback host.
 func FreeAddr(host string) (string, error) {
 	l, err := net.Listen("tcp", host+":0")
 	if err != nil {
--- a/lab/world/serve.go
+++ b/lab/world/serve.go
@@ -13,18 +13,22 @@
 	"minttray/lab/ledger"
 )
 
-// request is one command, taken apart.
+// request is one parsed command.
 type request struct {
-	key, id  string
-	op       uint64
+	key      string
+	id       string // of the op, as sent
+	op       uint64 // its number
 	category experiment.Category
 	write    bool
 	conn     *conn
 	answer   chan []byte
 }
 
-// take takes one whole command: the push is begun now.
-func (c *Cache) handleCommand(k *conn, cmd redcon.Command, answer chan []byte) {
+// lookupWorkDivisor is how much less work a lookup that misses takes in mode "aside" than a hit.
+const lookupWorkDivisor = 8
+
+// handleCommand handles one complete command. A CACHE.GET or CACHE.SET is recorded as a push that the server received.
+func (c *Cache) handleCommand(cn *conn, cmd redcon.Command, answer chan []byte) {
 	name := strings.ToUpper(string(cmd.Args[0]))
 	switch {
 	case name == "PING":
@@ -41,126 +45,127 @@
 		answer <- []byte("-SYNTAX\r\n")
 		return
 	}
-	req := request{key: string(cmd.Args[1]), id: string(cmd.Args[2]), write: name == "CACHE.SET", conn: k, answer: answer}
+	req := request{key: string(cmd.Args[1]), id: string(cmd.Args[2]), write: name == "CACHE.SET", conn: cn, answer: answer}
 	req.op = OpNumber(req.id)
 	props := parseProps(string(cmd.Args[3]))
 	req.category = c.world.category(props["c"])
 	work := c.world.drawWork(req.category.Work.Std(), req.op, c.Number)
-	k.mu.Lock()
-	k.openPushes[req.op] = true
-	k.mu.Unlock()
-	c.world.recordPush(ledger.Record{At: c.world.sentAt(k.netConn), Op: req.op, A: c.Number, B: k.number, C: uint32(work / time.Microsecond)}, props)
-	way := c.world.zoneDelay(k.zone, c.Zone)
-	if way > 0 {
-		time.AfterFunc(way, func() { c.startRequest(req, work) })
+	cn.mu.Lock()
+	cn.openPushes[req.op] = true
+	cn.mu.Unlock()
+	c.world.recordPush(ledger.Record{At: c.world.sentAt(cn.netConn), Op: req.op, A: c.Number, B: cn.number, C: uint32(work / time.Microsecond)}, props)
+	delay := c.world.zoneDelay(cn.zone, c.Zone)
+	if delay > 0 {
+		time.AfterFunc(delay, func() { c.startRequest(req, work) })
 	} else {
 		c.startRequest(req, work)
 	}
 }
 
-// begin has the command at the server.
-func (c *Cache) startRequest(r request, work time.Duration) {
-	_, refuse, _, lose, failing, vanished := c.Faults.snapshot()
+// startRequest applies the injected faults to a request, and queues its work.
+func (c *Cache) startRequest(req request, work time.Duration) {
+	_, refuse, _, dropAnswer, fail, unresponsive := c.Faults.snapshot()
 	switch {
-	case vanished || c.world.random(r.op, c.Number, "lose") < lose:
-		c.world.Ledger.Append(ledger.Record{Kind: ledger.PushEnded, At: c.world.Now(), Op: r.op, A: c.Number, B: r.conn.number, C: ledger.EndUnanswered})
-		r.conn.mu.Lock()
-		delete(r.conn.openPushes, r.op) // it stays owed, on an open connection
-		r.conn.mu.Unlock()
+	case unresponsive || c.world.random(req.op, c.Number, "lose") < dropAnswer:
+		c.world.Ledger.Append(ledger.Record{Kind: ledger.PushEnded, At: c.world.Now(), Op: req.op, A: c.Number, B: req.conn.number, C: ledger.EndUnanswered})
+		req.conn.mu.Lock()
+		delete(req.conn.openPushes, req.op) // no answer ever comes, while the connection stays open
+		req.conn.mu.Unlock()
 		return
-	case c.world.random(r.op, c.Number, "refuse") < refuse:
-		r.conn.endPush(r.op, ledger.EndRefused, r.answer, "-BUSY\r\n")
+	case c.world.random(req.op, c.Number, "refuse") < refuse:
+		req.conn.endPush(req.op, ledger.EndRefused, req.answer, "-BUSY\r\n")
 		return
-	case c.world.random(r.op, c.Number, "fail") < failing:
-		r.conn.endPush(r.op, ledger.EndFailed, r.answer, "-ERR failed\r\n")
+	case c.world.random(req.op, c.Number, "fail") < fail:
+		req.conn.endPush(req.op, ledger.EndFailed, req.answer, "-ERR failed\r\n")
 		return
 	}
-	if r.write && c.world.Experiment.Caches.Mode == "aside" {
-		r.conn.endPush(r.op, ledger.EndMissed, r.answer, "*3\r\n$-1\r\n$-1\r\n$-1\r\n")
+	if req.write && c.world.Experiment.Caches.Mode == "aside" {
+		req.conn.endPush(req.op, ledger.EndMissed, req.answer, "*3\r\n$-1\r\n$-1\r\n$-1\r\n")
 		return
 	}
 	c.mu.Lock()
 	store := c.store
 	c.mu.Unlock()
-	hit := !r.write && store.has(r.key)
+	hit := !req.write && store.has(req.key)
 	if !hit && c.world.Experiment.Caches.Mode == "aside" {
-		work /= 8 // looking is little work
+		work /= lookupWorkDivisor
 	}
 	j := &job{work: work}
-	j.done = func() { c.completeRequest(r, j, store, hit) }
-	r.conn.mu.Lock()
-	gone := r.conn.closed
-	r.conn.pendingJobs[j] = true
-	r.conn.mu.Unlock()
-	if gone {
+	j.done = func() { c.completeRequest(req, j, store, hit) }
+	req.conn.mu.Lock()
+	closed := req.conn.closed
+	req.conn.jobs[j] = true
+	req.conn.mu.Unlock()
+	if closed {
 		return
 	}
 	if !c.queue.offer(j) {
-		r.conn.mu.Lock()
-		delete(r.conn.pendingJobs, j)
-		r.conn.mu.Unlock()
-		r.conn.endPush(r.op, ledger.EndRefused, r.answer, "-BUSY "+c.currentLoadReport()+"\r\n")
+		req.conn.mu.Lock()
+		delete(req.conn.jobs, j)
+		req.conn.mu.Unlock()
+		req.conn.endPush(req.op, ledger.EndRefused, req.answer, "-BUSY "+c.currentLoadReport()+"\r\n")
 	}
 }
 
-// served has the work done.
-func (c *Cache) completeRequest(r request, j *job, store *valueStore, hit bool) {
-	r.conn.mu.Lock()
-	delete(r.conn.pendingJobs, j)
-	gone := r.conn.closed
-	r.conn.mu.Unlock()
+// completeRequest answers a request whose work is done.
+func (c *Cache) completeRequest(req request, j *job, store *valueStore, hit bool) {
+	req.conn.mu.Lock()
+	delete(req.conn.jobs, j)
+	closed := req.conn.closed
+	req.conn.mu.Unlock()
 	switch {
 	case hit:
-		c.sendValue(r, "hit", ledger.EndAnswered)
-	case r.write:
-		c.world.applyWrite(r, c.Number, c.Zone)
-		c.world.Origin.invalidateCopies(r.key)
-		store.remove(r.key)
-		c.sendValue(r, "", ledger.EndAnswered)
+		c.sendValue(req, "hit", ledger.EndAnswered)
+	case req.write:
+		c.world.applyWrite(req, c.Number, c.Zone)
+		c.world.Origin.invalidateCopies(req.key)
+		store.remove(req.key)
+		c.sendValue(req, "", ledger.EndAnswered)
 	case c.world.Experiment.Caches.Mode == "aside":
-		if !gone {
-			m, _ := c.world.originMisses.LoadOrStore(r.id, &missedCaches{})
-			m.(*missedCaches).mu.Lock()
-			m.(*missedCaches).caches = append(m.(*missedCaches).caches, c)
-			m.(*missedCaches).mu.Unlock()
-			time.AfterFunc(r.category.TTL.Std(), func() { c.world.originMisses.Delete(r.id) })
+		if !closed {
+			entry, _ := c.world.originMisses.LoadOrStore(req.id, &missedCaches{})
+			entry.(*missedCaches).mu.Lock()
+			entry.(*missedCaches).caches = append(entry.(*missedCaches).caches, c)
+			entry.(*missedCaches).mu.Unlock()
+			time.AfterFunc(req.category.TTL.Std(), func() { c.world.originMisses.Delete(req.id) })
 		}
-		r.conn.endPush(r.op, ledger.EndMissed, r.answer, "*3\r\n$-1\r\n$4\r\nmiss\r\n$"+bulk(c.currentLoadReport())+"\r\n")
-	default: // through: it fetches by itself
-		if !c.world.Origin.fetch(r.op, func(ok bool) {
+		req.conn.endPush(req.op, ledger.EndMissed, req.answer, "*3\r\n$-1\r\n$4\r\nmiss\r\n$"+bulk(c.currentLoadReport())+"\r\n")
+	default: // mode "through": the cache fetches from the origin
+		if !c.world.Origin.fetch(req.op, func(ok bool) {
 			if !ok {
-				r.conn.endPush(r.op, ledger.EndFailed, r.answer, "-ERR failed\r\n")
+				req.conn.endPush(req.op, ledger.EndFailed, req.answer, "-ERR failed\r\n")
 				return
 			}
-			store.put(r.key, r.category.Size)
-			c.sendValue(r, "miss", ledger.EndAnswered)
+			store.put(req.key, req.category.Size)
+			c.sendValue(req, "miss", ledger.EndAnswered)
 		}) {
-			r.conn.endPush(r.op, ledger.EndFailed, r.answer, "-ERR failed\r\n")
+			req.conn.endPush(req.op, ledger.EndFailed, req.answer, "-ERR failed\r\n")
 		}
 	}
 }
 
-// reply gives the value, or a write's receipt.
-func (c *Cache) sendValue(r request, hitOrMiss string, end uint32) {
-	_, _, spoil, _, _, _ := c.Faults.snapshot()
-	value := Value(r.key, r.id, r.category.Size)
-	if r.write {
-		value = Value(r.key, r.id, 1)
+// sendValue answers with the value of a read, or with the receipt of a write.
+func (c *Cache) sendValue(req request, hitOrMiss string, end uint32) {
+	_, _, corrupt, _, _, _ := c.Faults.snapshot()
+	value := Value(req.key, req.id, req.category.Size)
+	if req.write {
+		value = Value(req.key, req.id, 1)
 	}
-	if c.world.random(r.op, c.Number, "spoil") < spoil {
-		r.conn.endPush(r.op, end, r.answer, "*3\r\n$999999\r\n"+value[:min(len(value), 20)]+"\r\n")
+	if c.world.random(req.op, c.Number, "spoil") < corrupt {
+		req.conn.endPush(req.op, end, req.answer, "*3\r\n$999999\r\n"+value[:min(len(value), 20)]+"\r\n")
 		return
 	}
 	status := "$-1"
 	if hitOrMiss != "" {
 		status = "$" + bulk(hitOrMiss)
 	}
-	r.conn.endPush(r.op, end, r.answer, "*3\r\n$"+bulk(value)+"\r\n"+status+"\r\n$"+bulk(c.currentLoadReport())+"\r\n")
+	req.conn.endPush(req.op, end, req.answer, "*3\r\n$"+bulk(value)+"\r\n"+status+"\r\n$"+bulk(c.currentLoadReport())+"\r\n")
 }
 
+// bulk formats a RESP bulk string without its "$" and its final line end.
 func bulk(s string) string { return fmt.Sprintf("%d\r\n%s", len(s), s) }
 
-// load is the load report, refreshed now and then only.
+// currentLoadReport returns the load report, which is refreshed at most once per reporting interval.
 func (c *Cache) currentLoadReport() string {
 	running, waiting := c.queue.load()
 	c.mu.Lock()
@@ -172,7 +177,7 @@
 	return c.loadReport
 }
 
-// category finds one by its name; an unknown name is the first.
+// category returns the category of a name, or the first one for an unknown name.
 func (w *World) category(name string) experiment.Category {
 	for _, c := range w.Experiment.Categories {
 		if c.Name == name {
@@ -182,32 +187,32 @@
 	return w.Experiment.Categories[0]
 }
 
-// effect carries a write out, but for a repeat of a deduplicated one that its group still remembers.
-func (w *World) applyWrite(r request, server uint32, zone int) {
-	if r.category.Effect == "deduplicated" {
-		group := r.id
-		if r.category.DedupGroup == "zone" {
-			group = fmt.Sprint(r.id, "/", zone)
+// applyWrite records a write as applied, unless it repeats a deduplicated write within its deduplication window.
+func (w *World) applyWrite(req request, server uint32, zone int) {
+	if req.category.Effect == "deduplicated" {
+		scope := req.id
+		if req.category.DedupGroup == "zone" {
+			scope = fmt.Sprint(req.id, "/", zone)
 		}
-		if _, duplicate := w.appliedWrites.LoadOrStore(group, true); duplicate {
+		if _, duplicate := w.appliedWrites.LoadOrStore(scope, true); duplicate {
 			return
 		}
-		time.AfterFunc(r.category.DedupWindow.Std(), func() { w.appliedWrites.Delete(group) })
+		time.AfterFunc(req.category.DedupWindow.Std(), func() { w.appliedWrites.Delete(scope) })
 	}
-	w.Ledger.Append(ledger.Record{Kind: ledger.WriteApplied, At: w.Now(), Op: r.op, A: server})
+	w.Ledger.Append(ledger.Record{Kind: ledger.WriteApplied, At: w.Now(), Op: req.op, A: server})
 }
 
-// longestDeadline is the longest that a record holds, in milliseconds.
+// maxDeadlineMS is the longest deadline that a ledger record can hold: it holds microseconds in 32 bits.
 const maxDeadlineMS = math.MaxUint32 / 1000
 
-// push books a push, and the deadline that it passed.
-func (w *World) recordPush(r ledger.Record, props map[string]string) {
-	r.Kind = ledger.PushReceived
-	w.Ledger.Append(r)
-	ms, err := strconv.ParseFloat(props["d"], 64)
-	if err != nil || !(ms > 0) {
-		ms = 0
+// recordPush records a received push and the deadline that the proxy forwarded with it; 0 for a missing or invalid deadline.
+func (w *World) recordPush(record ledger.Record, props map[string]string) {
+	record.Kind = ledger.PushReceived
+	w.Ledger.Append(record)
+	deadlineMS, err := strconv.ParseFloat(props["d"], 64)
+	if err != nil || !(deadlineMS > 0) {
+		deadlineMS = 0
 	}
-	r.Kind, r.C = ledger.DeadlineForwarded, uint32(min(ms, maxDeadlineMS)*1000)
-	w.Ledger.Append(r)
+	record.Kind, record.C = ledger.DeadlineForwarded, uint32(min(deadlineMS, maxDeadlineMS)*1000)
+	w.Ledger.Append(record)
 }
--- a/lab/world/station.go
+++ b/lab/world/station.go
@@ -6,123 +6,129 @@
 	"time"
 )
 
-// job is one piece of work at a station.
+// job is one piece of work of a stand-in.
 type job struct {
-	work     time.Duration
-	done     func()
+	work     time.Duration // core time at full speed
+	done     func()        // called when the work is complete
 	timer    *time.Timer
 	started  bool
 	finished bool
 }
 
+// stallThreshold is how late a job's timer may fire before the stand-in counts as stalled.
 const stallThreshold = 5 * time.Millisecond
 
-// station is cores with a waiting room before them. Its cores' speed may change; a job keeps the speed that it began
-// with.
+// minSpeed is the lower limit of a work queue's speed.
+const minSpeed = 0.001
+
+// workQueue runs jobs on a number of cores, behind a bounded queue. Its speed may change; a job keeps the speed that it started with.
 type workQueue struct {
-	completed   atomic.Int64
-	stalled     atomic.Int64 // of those: the stand-in itself was late, whatever the proxies did
+	completed   atomic.Int64 // jobs whose timer has fired
+	stalled     atomic.Int64 // those of them that fired more than stallThreshold late, through no fault of a proxy
 	mu          sync.Mutex
 	cores       int
-	queueLimit  int
-	running     int
+	queueLimit  int // jobs that may wait
+	running     int // jobs that occupy a core
 	waiting     []*job
-	speed       func(waiting int) float64 // 1: as stated; 0: stands still
-	pausedUntil time.Time                 // nothing begins before
+	speed       func(waiting int) float64 // factor on the speed of a core; 1: full speed
+	pausedUntil time.Time                 // work of new jobs starts then at the earliest
 }
 
-// offer takes a job in; false: there is no room, and it never ran.
-func (s *workQueue) offer(j *job) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.running >= s.cores && len(s.waiting) >= s.queueLimit {
+// offer queues a job. It returns false when the queue is full; the job never runs then.
+func (q *workQueue) offer(j *job) bool {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	if q.running >= q.cores && len(q.waiting) >= q.queueLimit {
 		return false
 	}
-	s.waiting = append(s.waiting, j)
-	s.startWaiting()
+	q.waiting = append(q.waiting, j)
+	q.startWaiting()
 	return true
 }
 
-func (s *workQueue) startWaiting() {
-	for len(s.waiting) > 0 && s.running < s.cores {
-		j := s.waiting[0]
-		s.waiting = s.waiting[1:]
-		s.running++
+// startWaiting starts waiting jobs on free cores; the caller holds the mutex.
+func (q *workQueue) startWaiting() {
+	for len(q.waiting) > 0 && q.running < q.cores {
+		j := q.waiting[0]
+		q.waiting = q.waiting[1:]
+		q.running++
 		j.started = true
-		span := time.Duration(float64(j.work) / max(s.speed(len(s.waiting)), 0.001))
-		if wait := time.Until(s.pausedUntil); wait > 0 {
-			span += wait
+		duration := time.Duration(float64(j.work) / max(q.speed(len(q.waiting)), minSpeed))
+		if wait := time.Until(q.pausedUntil); wait > 0 {
+			duration += wait
 		}
-		due := time.Now().Add(span)
-		j.timer = time.AfterFunc(span, func() {
-			s.completed.Add(1)
+		due := time.Now().Add(duration)
+		j.timer = time.AfterFunc(duration, func() {
+			q.completed.Add(1)
 			if time.Since(due) > stallThreshold {
-				s.stalled.Add(1)
+				q.stalled.Add(1)
 			}
-			s.finish(j)
+			q.finish(j)
 		})
 	}
 }
 
-func (s *workQueue) finish(j *job) {
-	s.mu.Lock()
+// finish frees the core of a job and calls its done function, unless it was cancelled.
+func (q *workQueue) finish(j *job) {
+	q.mu.Lock()
 	if j.finished {
-		s.mu.Unlock()
+		q.mu.Unlock()
 		return
 	}
 	j.finished = true
-	s.running--
-	s.startWaiting()
-	s.mu.Unlock()
+	q.running--
+	q.startWaiting()
+	q.mu.Unlock()
 	j.done()
 }
 
-// cancel takes a job back that nobody waits for; running: also one that has begun.
-func (s *workQueue) cancel(j *job, running bool) (removed bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+// cancel removes a waiting job and, with includeStarted, a running one. It reports whether the job was removed.
+func (q *workQueue) cancel(j *job, includeStarted bool) (removed bool) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
 	if j.finished {
 		return false
 	}
 	if !j.started {
-		for i, w := range s.waiting {
+		for i, w := range q.waiting {
 			if w == j {
-				s.waiting = append(s.waiting[:i], s.waiting[i+1:]...)
+				q.waiting = append(q.waiting[:i], q.waiting[i+1:]...)
 				break
 			}
 		}
 		j.finished = true
 		return true
 	}
-	if running {
+	if includeStarted {
 		j.finished = true
 		j.timer.Stop()
-		s.running--
-		s.startWaiting()
+		q.running--
+		q.startWaiting()
 		return true
 	}
 	return false
 }
 
-// hold lets nothing new begin for a while; what runs takes so much longer.
-func (s *workQueue) pauseUntil(until time.Time) {
-	s.mu.Lock()
-	s.pausedUntil = until
-	s.mu.Unlock()
+// pauseUntil delays the work of jobs that start before a time; running jobs are not affected.
+func (q *workQueue) pauseUntil(until time.Time) {
+	q.mu.Lock()
+	q.pausedUntil = until
+	q.mu.Unlock()
 }
 
 // clear drops all work, as a process that dies does.
-func (s *workQueue) clear() {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for _, j := range s.waiting {
+func (q *workQueue) clear() {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	for _, j := range q.waiting {
 		j.finished = true
 	}
-	s.waiting, s.running = nil, 0
+	q.waiting, q.running = nil, 0
 }
 
-func (s *workQueue) load() (running, waiting int) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.running, len(s.waiting)
+// load returns the number of running and of waiting jobs.
+func (q *workQueue) load() (running, waiting int) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	return q.running, len(q.waiting)
 }
--- a/lab/world/store.go
+++ b/lab/world/store.go
@@ -5,24 +5,27 @@
 	"sync"
 )
 
-// store is a cache's content: bounded by bytes, the longest unused goes first.
+// valueStore is the content of a cache: an LRU of value sizes, bounded by their sum. Values themselves are generated on demand.
 type valueStore struct {
 	mu       sync.Mutex
-	bytes    int
-	maxBytes int
-	lru      *list.List // of kept, the latest used in front
+	bytes    int        // sum of all sizes
+	maxBytes int        // limit of bytes; a single larger value is still stored
+	lru      *list.List // of storedValue, the most recently used in front
 	elements map[string]*list.Element
 }
 
+// storedValue is the size of one stored value, in bytes.
 type storedValue struct {
 	key  string
 	size int
 }
 
-func newStore(most int) *valueStore {
-	return &valueStore{maxBytes: most, lru: list.New(), elements: map[string]*list.Element{}}
+// newStore makes an empty store of maxBytes bytes.
+func newStore(maxBytes int) *valueStore {
+	return &valueStore{maxBytes: maxBytes, lru: list.New(), elements: map[string]*list.Element{}}
 }
 
+// has reports whether a key is stored, and marks it as used.
 func (s *valueStore) has(key string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -33,6 +36,7 @@
 	return e != nil
 }
 
+// put stores a key as the most recently used one, and evicts the least recently used ones above the limit.
 func (s *valueStore) put(key string, size int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -46,12 +50,13 @@
 	}
 	for s.bytes > s.maxBytes && s.lru.Len() > 1 {
 		e := s.lru.Back()
-		k := s.lru.Remove(e).(storedValue)
-		delete(s.elements, k.key)
-		s.bytes -= k.size
+		evicted := s.lru.Remove(e).(storedValue)
+		delete(s.elements, evicted.key)
+		s.bytes -= evicted.size
 	}
 }
 
+// remove deletes a key.
 func (s *valueStore) remove(key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -61,7 +66,7 @@
 	}
 }
 
-// flush voids a share of what is kept; draw tells by key.
+// removeIf deletes all keys for which remove returns true.
 func (s *valueStore) removeIf(remove func(key string) bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/lab/world/world.go
+++ b/lab/world/world.go
@@ -1,5 +1,5 @@
-// Package world holds stand-ins, on loopback, for all that proxies meet: caches, the origin, and one discovery agent
-// for each proxy. They speak the platform's protocol over real sockets, and each tells the ledger what it was sent.
+// Package world runs stand-ins on loopback for every server that proxies talk to: caches, the origin, and one discovery agent for
+// each proxy. They speak the platform's protocols over real sockets, and record every request in the ledger.
 package world
 
 import (
@@ -18,41 +18,42 @@
 	"minttray/lab/ways"
 )
 
-// World is all stand-ins of one run.
+// World is the set of stand-ins of one run.
 type World struct {
 	Experiment *experiment.File
 	Ledger     *ledger.Writer
 	Origin     *Origin
 	Registry   *Registry
 
-	Links *ways.RuleTable // nil: nothing is ever wrong between two processes, and nothing stands in between
+	Links *ways.RuleTable // rules of all links; nil: the experiment breaks no links, and connections are plain TCP
 
-	addressBlock  int // of its addresses
-	start         time.Time
+	addressBlock  int       // part of the loopback range that it uses
+	start         time.Time // zero of the run's clock
 	mu            sync.Mutex
-	caches        []*Cache // by server number - 1; the origin is 0
-	originMisses  sync.Map // op id -> *missing
-	appliedWrites sync.Map // what deduplicated ops left behind
+	caches        []*Cache // by server number - 1; the origin is server 0
+	originMisses  sync.Map // op id -> *missedCaches
+	appliedWrites sync.Map // deduplication keys of recent writes
 	connCount     atomic.Uint32
 }
 
+// missedCaches are the caches that answered an op with a miss; the origin's answer is stored in them.
 type missedCaches struct {
 	mu     sync.Mutex
 	caches []*Cache
 }
 
-// New makes a world and opens its listeners; its clock starts here.
-func New(exp *experiment.File, book *ledger.Writer) (*World, error) {
-	w := &World{Experiment: exp, Ledger: book, addressBlock: nextBlock(), start: time.Now()}
+// New starts the stand-ins of an experiment. The run's clock starts here.
+func New(exp *experiment.File, writer *ledger.Writer) (*World, error) {
+	w := &World{Experiment: exp, Ledger: writer, addressBlock: nextBlock(), start: time.Now()}
 	if exp.BreaksLinks() {
 		w.Links = ways.New(exp.Seed)
 	}
 	w.Registry = newRegistry(w)
-	o, err := newOrigin(w)
+	origin, err := newOrigin(w)
 	if err != nil {
 		return nil, err
 	}
-	w.Origin = o
+	w.Origin = origin
 	for i := range exp.Caches.Count {
 		if _, err := w.AddCache(i%len(exp.Zones.Names), false); err != nil {
 			w.Close()
@@ -62,13 +63,13 @@
 	return w, nil
 }
 
-// Now is the run's one clock.
+// Now returns the time on the run's clock, which all ledger records use.
 func (w *World) Now() time.Duration { return time.Since(w.start) }
 
-// Start is when that clock began.
+// Start returns the time at which the run's clock started.
 func (w *World) Start() time.Time { return w.start }
 
-// Add puts one more cache up; cold: it starts now, else long ago.
+// AddCache starts one more cache: cold, or fully warmed up.
 func (w *World) AddCache(zone int, cold bool) (*Cache, error) {
 	w.mu.Lock()
 	n := uint32(len(w.caches) + 1)
@@ -81,9 +82,9 @@
 	return c, nil
 }
 
-// Replace puts a successor up at a cache's address, under a new id.
+// Replace starts a cold successor at a cache's addresses, under a new id.
 func (w *World) Replace(old *Cache) (*Cache, error) {
-	// Danger: two faults at once may both bring a machine back; the address belongs to the first successor.
+	// Two faults may replace the same cache at once; the first successor keeps the addresses.
 	if old.replaced.Swap(true) {
 		return old, nil
 	}
@@ -96,15 +97,15 @@
 	return c, c.start(true)
 }
 
-// Caches are all that ever were, in the order of their numbers.
+// Caches returns all caches of the run in the order of their numbers, those that have ended included.
 func (w *World) Caches() []*Cache {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return append([]*Cache(nil), w.caches...)
 }
 
-// Stalled is the share of all work at stand-ins that ended over 5 ms after its time: the lab's own stalls, which are
-// told from a proxy's by this.
+// LateWorkShare returns the share of all work at stand-ins that ended more than stallThreshold late. It distinguishes stalls of the
+// laboratory itself from those of a proxy.
 func (w *World) LateWorkShare() float64 {
 	ended, stalled := w.Origin.queue.completed.Load(), w.Origin.queue.stalled.Load()
 	for _, c := range w.Caches() {
@@ -113,7 +114,7 @@
 	return float64(stalled) / float64(max(ended, 1))
 }
 
-// Zones gives each server's zone, for the ledger.
+// Zones returns the zone index of each server number.
 func (w *World) Zones() map[uint32]int {
 	zones := map[uint32]int{0: 0}
 	for _, c := range w.Caches() {
@@ -122,7 +123,7 @@
 	return zones
 }
 
-// Close ends all listeners and connections.
+// Close closes all listeners and connections.
 func (w *World) Close() {
 	for _, c := range w.Caches() {
 		c.stop(true)
@@ -131,7 +132,7 @@
 	w.Registry.close()
 }
 
-// delay is the one-way span between two zones.
+// zoneDelay returns the one-way delay between two zones.
 func (w *World) zoneDelay(a, b int) time.Duration {
 	if a == b {
 		return 0
@@ -139,28 +140,29 @@
 	return w.Experiment.Zones.Delay.Std()
 }
 
-// draw is a figure from 0 to 1 that hangs on the op and the place alone, so that the same seed gives the same.
-func (w *World) random(id uint64, place uint32, purpose string) float64 {
-	h := fnv.New64a()
-	fmt.Fprintf(h, "%d/%x/%d/%s", w.Experiment.Seed, id, place, purpose)
-	x := h.Sum64()
-	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
-	x = (x ^ x>>27) * 0x94d049bb133111eb
-	return float64((x^x>>31)>>11) / (1 << 53)
+// random returns a pseudo-random number in [0, 1) that depends on the seed, the op, the server and the purpose alone, so that the same
+// seed reproduces it whatever the order of events.
+func (w *World) random(op uint64, server uint32, purpose string) float64 {
+	hasher := fnv.New64a()
+	fmt.Fprintf(hasher, "%d/%x/%d/%s", w.Experiment.Seed, op, server, purpose)
+	hash := hasher.Sum64()
+	hash = (hash ^ hash>>30) * 0xbf58476d1ce4e5b9
+	hash = (hash ^ hash>>27) * 0x94d049bb133111eb
+	return float64((hash^hash>>31)>>11) / (1 << 53)
 }
 
-// work is how long an op takes a core: half of the mean for certain, the other half drawn.
-func (w *World) drawWork(mean time.Duration, id uint64, place uint32) time.Duration {
-	return time.Duration(float64(mean) * (0.5 - 0.5*math.Log(1-w.random(id, place, "work")*0.999)))
+// drawWork draws the core time of an op: half of the mean plus an exponentially distributed half.
+func (w *World) drawWork(mean time.Duration, op uint64, server uint32) time.Duration {
+	return time.Duration(float64(mean) * (0.5 - 0.5*math.Log(1-w.random(op, server, "work")*0.999)))
 }
 
-// Value is what a server answers for an op: made for it alone, so that another's is known.
+// Value returns the value that answers an op. It holds the op's id and key, so that an answer that belongs to another op is detected.
 func Value(key, id string, size int) string {
 	v := id + " " + key + " "
 	return v + strings.Repeat(".", max(size-len(v), 0))
 }
 
-// Number is an op's number, from its id.
+// OpNumber parses the hexadecimal id of an op; an invalid id gives 0.
 func OpNumber(id string) uint64 {
 	n, err := strconv.ParseUint(id, 16, 64)
 	if err != nil {
@@ -169,12 +171,14 @@
 	return n
 }
 
-// door is where some proxies reach a server: each zone has one, or each proxy where ways between two processes may break.
+// proxyGroup is a set of proxies for which each server has a listener of its own: the proxies of a zone or, where the experiment breaks
+// links between processes, a single proxy.
 type proxyGroup struct {
 	zone     int
-	endpoint ways.Endpoint
+	endpoint ways.Endpoint // of the proxy; zero for a whole zone
 }
 
+// proxyGroups lists the proxy groups of the run.
 func (w *World) proxyGroups() (groups []proxyGroup) {
 	if w.Links == nil {
 		for zone := range w.Experiment.Zones.Names {
@@ -188,39 +192,42 @@
 	return groups
 }
 
-// doorOf is the number of a proxy's door.
-func (w *World) proxyGroupOf(n int) int {
+// proxyGroupOf returns the index of the group of a proxy.
+func (w *World) proxyGroupOf(proxy int) int {
 	if w.Links == nil {
-		return w.Experiment.ZoneOfProxy(n)
+		return w.Experiment.ZoneOfProxy(proxy)
 	}
-	return n
+	return proxy
 }
 
-// Proxy is a proxy's end of its ways.
-func (w *World) ProxyEndpoint(n int) ways.Endpoint {
-	return ways.Endpoint{Site: w.Experiment.ZoneOfProxy(n), Name: fmt.Sprintf("proxy-%d", n)}
+// ProxyEndpoint returns the endpoint of a proxy in link rules.
+func (w *World) ProxyEndpoint(proxy int) ways.Endpoint {
+	return ways.Endpoint{Site: w.Experiment.ZoneOfProxy(proxy), Name: fmt.Sprintf("proxy-%d", proxy)}
 }
 
-// Origin's and the list's ends of their ways; the list has a replica in each site.
+// OriginEndpoint returns the endpoint of the origin in link rules.
 func (w *World) OriginEndpoint() ways.Endpoint { return ways.Endpoint{Name: "origin"} }
+
+// registryEndpoint returns the endpoint of a site's replica of the list of caches in link rules.
 func (w *World) registryEndpoint(site int) ways.Endpoint {
 	return ways.Endpoint{Site: site, Name: "list"}
 }
 
-// listen opens a listener on a loopback address of its own, for those who come through a door.
-func (w *World) listen(addr string, d proxyGroup, near ways.Endpoint) (net.Listener, error) {
+// listen opens a listener for the proxies of a group.
+func (w *World) listen(addr string, group proxyGroup, local ways.Endpoint) (net.Listener, error) {
 	if w.Links == nil {
 		return net.Listen("tcp", addr)
 	}
-	return w.Links.Listen(addr, d.endpoint, near)
+	return w.Links.Listen(addr, group.endpoint, local)
 }
 
-// sent is when what was last read from a connection was sent.
-func (w *World) sentAt(c net.Conn) time.Duration {
-	if k, ok := c.(*ways.Conn); ok {
-		return k.SentAt().Sub(w.start)
+// sentAt returns when the peer sent the bytes that were last read from a connection, on the run's clock.
+func (w *World) sentAt(netConn net.Conn) time.Duration {
+	if link, ok := netConn.(*ways.Conn); ok {
+		return link.SentAt().Sub(w.start)
 	}
 	return w.Now()
 }
 
+// nextConnNumber returns a new connection number for the ledger.
 func (w *World) nextConnNumber() uint32 { return w.connCount.Add(1) }
--- a/strict/strict.go
+++ b/strict/strict.go
@@ -1,4 +1,4 @@
-// Package strict reads TOML files in which nothing may be unknown: what is wrong is named by file, line and field.
+// Package strict decodes TOML files and rejects unknown fields. Its errors name the file, the line and the field.
 package strict
 
 import (
@@ -9,7 +9,8 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Decode takes a file's text apart into a struct. An unknown field or a wrong type is an error with its line.
+// Decode decodes TOML text into the struct that into points to. An unknown field or a value of the wrong type is an error that
+// names path, line and field; without a path it names line and field.
 func Decode(path, text string, into any) error {
 	if path != "" {
 		path += ":"
@@ -32,8 +33,8 @@
 	return nil
 }
 
-// Lines finds where each field stands, for what is found after decoding: "table.key", or "table[2].key" in the third table of
-// its name.
+// Lines returns the line number of each table and field, for errors that are found after decoding. Keys are "table.key", and
+// "table[2].key" for the third table of an array.
 func Lines(text string) map[string]int {
 	lines, table, seen := map[string]int{}, "", map[string]int{}
 	for i, line := range strings.Split(text, "\n") {
