--- a/lab/experiment/check.go
+++ b/lab/experiment/check.go
@@ -8,26 +8,54 @@
 	"time"
 )
 
-// Defaults is a small calm deployment; a file names what differs.
+// Defaults returns a small deployment without faults, to which a file's fields are applied.
 func Defaults() *File {
 	ms := func(n int) Duration { return Duration(time.Duration(n) * time.Millisecond) }
-	return &File{Seed: 1, Length: ms(20000), WarmUp: ms(2000),
+	return &File{
+		Seed:    1,
+		Length:  ms(20000),
+		WarmUp:  ms(2000),
 		Proxies: Proxies{Count: 3, Cores: 1, MemoryMB: 64, Sockets: 1024},
-		Caches: Caches{Count: 9, Mode: "aside", Cores: 3, QueueLimit: 32, MemoryMB: 2, MaxConns: 512, HandshakeWork: ms(1), ColdCapacityShare: 0.3,
-			WarmUp: ms(8000), CancelMode: "all", ReportEvery: ms(200), Prefilled: true},
+		Caches: Caches{
+			Count:             9,
+			Mode:              "aside",
+			Cores:             3,
+			QueueLimit:        32,
+			MemoryMB:          2,
+			MaxConns:          512,
+			HandshakeWork:     ms(1),
+			ColdCapacityShare: 0.3,
+			WarmUp:            ms(8000),
+			CancelMode:        "all",
+			ReportEvery:       ms(200),
+			Prefilled:         true,
+		},
 		Origin:    Origin{Cores: 8, QueueLimit: 200, Work: ms(20), QueueSlowdown: 0.1},
 		Zones:     Zones{Names: []string{"a"}},
 		Discovery: Discovery{Delay: ms(1000)},
 		Keys:      Keys{Count: 20000, ZipfExponent: 1.05},
 		Load:      Load{Rate: 300},
-		Clients:   Clients{Retries: 2, RetryDelay: ms(50), TryTimeoutShare: 0.7, LeaveShare: 0.02, RetryAfterShare: 0.7, MarkRetries: true},
-		Balancer:  Balancer{DetectionDelay: ms(2000)},
-		Rules: Rules{DrainGrace: ms(2000), OverloadFactor: 3, OverloadWindow: ms(3000), MaxPushes: 5, MaxRetryAfter: ms(2000),
-			Slack: ms(100)},
+		Clients: Clients{
+			Retries:         2,
+			RetryDelay:      ms(50),
+			TryTimeoutShare: 0.7,
+			LeaveShare:      0.02,
+			RetryAfterShare: 0.7,
+			MarkRetries:     true,
+		},
+		Balancer: Balancer{DetectionDelay: ms(2000)},
+		Rules: Rules{
+			DrainGrace:     ms(2000),
+			OverloadFactor: 3,
+			OverloadWindow: ms(3000),
+			MaxPushes:      5,
+			MaxRetryAfter:  ms(2000),
+			Slack:          ms(100),
+		},
 	}
 }
 
-// fill gives lists that a file left out their plain content.
+// applyDefaults sets the defaults of the fields that a file left out in lists, and of lists that it left out as a whole.
 func (f *File) applyDefaults() {
 	if len(f.Categories) == 0 {
 		f.Categories = []Category{{Name: "read", Share: 1, Work: Duration(10 * time.Millisecond), Benefit: 1}}
@@ -58,7 +86,8 @@
 	}
 }
 
-// units finds spans that were written as bare numbers, which the decoder takes for nanoseconds.
+// findBareDurations reports durations that were written as numbers without a unit, which the decoder reads as nanoseconds. v is a struct
+// and path the prefix of its fields.
 func findBareDurations(v reflect.Value, path string, report func(field string)) {
 	for i := range v.NumField() {
 		tag, field := v.Type().Field(i).Tag.Get("toml"), v.Field(i)
@@ -78,7 +107,7 @@
 	}
 }
 
-// check names the first field that is out of its bounds, by file and line.
+// check returns an error for the first invalid field, with its file and line.
 func (f *File) check() error {
 	var err error
 	require := func(field string, ok bool, format string, args ...any) {
@@ -87,20 +116,20 @@
 		}
 	}
 	inRange := func(field string, v, from, to float64) {
-		require(field, v >= from && v <= to, "%v is not from %v to %v", v, from, to)
+		require(field, v >= from && v <= to, "%v is not between %v and %v", v, from, to)
 	}
 	durationInRange := func(field string, v Duration, from, to time.Duration) {
-		require(field, v.Std() >= from && v.Std() <= to, "%v is not from %v to %v", v.Std(), from, to)
+		require(field, v.Std() >= from && v.Std() <= to, "%v is not between %v and %v", v.Std(), from, to)
 	}
-	oneOf := func(field, v string, of ...string) {
+	oneOf := func(field, v string, options ...string) {
 		ok := false
-		for _, o := range of {
-			ok = ok || v == o
+		for _, option := range options {
+			ok = ok || v == option
 		}
-		require(field, ok, "%q is none of %s", v, strings.Join(of, ", "))
+		require(field, ok, "%q is none of %s", v, strings.Join(options, ", "))
 	}
-	findBareDurations(reflect.ValueOf(f).Elem(), "", func(field string) { require(field, false, "a span of time without its unit") })
-	require("name", f.Name != "" && !strings.ContainsAny(f.Name, "/\\ "), "a name without blanks or slashes is wanted")
+	findBareDurations(reflect.ValueOf(f).Elem(), "", func(field string) { require(field, false, "duration without a unit") })
+	require("name", f.Name != "" && !strings.ContainsAny(f.Name, "/\\ "), "%q is not a name without spaces and slashes", f.Name)
 	durationInRange("length", f.Length, time.Second, 24*time.Hour)
 	durationInRange("warm", f.WarmUp, 0, f.Length.Std()-time.Second)
 	inRange("proxies.count", float64(f.Proxies.Count), 1, 64)
@@ -139,14 +168,14 @@
 	tenants := map[string]bool{}
 	for i, t := range f.Tenants {
 		prefix := fmt.Sprintf("tenant[%d].", i)
-		require(prefix+"name", t.Name != "" && !tenants[t.Name] && !strings.ContainsAny(t.Name, ",= "), "a name of its own is wanted")
+		require(prefix+"name", t.Name != "" && !tenants[t.Name] && !strings.ContainsAny(t.Name, ",= "), "%q is not a unique name without spaces, commas and equals signs", t.Name)
 		tenants[t.Name] = true
 		inRange(prefix+"share", t.Share, 0, 1)
 	}
 	sum := 0.0
 	for i, c := range f.Categories {
 		prefix := fmt.Sprintf("category[%d].", i)
-		require(prefix+"name", c.Name != "" && !strings.ContainsAny(c.Name, ",= "), "a name is wanted")
+		require(prefix+"name", c.Name != "" && !strings.ContainsAny(c.Name, ",= "), "%q is not a name without spaces, commas and equals signs", c.Name)
 		oneOf(prefix+"effect", c.Effect, "redeliverable", "deduplicated", "at-most-once")
 		oneOf(prefix+"group", c.DedupGroup, "all", "zone")
 		durationInRange(prefix+"work", c.Work, 0, time.Minute)
@@ -156,7 +185,7 @@
 		inRange(prefix+"benefit", c.Benefit, 0, 1e6)
 		sum += c.Share
 	}
-	require("category[0].share", sum > 0.999 && sum < 1.001, "the shares sum up to %v, not to 1", sum)
+	require("category[0].share", sum > 0.999 && sum < 1.001, "the shares of all categories sum to %v, want 1", sum)
 	for i, fault := range f.Faults {
 		prefix := fmt.Sprintf("fault[%d].", i)
 		if _, ok := FaultKinds[fault.Kind]; !ok {
@@ -170,27 +199,27 @@
 		durationInRange(prefix+"at", fault.Start, 0, f.Length.Std())
 		inRange(prefix+"share", fault.Share, 0, 1)
 		inRange(prefix+"count", float64(fault.Count), 0, 1000)
-		require(prefix+"count", fault.Count == 0 || fault.Share == 0, "count and share exclude each other")
-		require(prefix+"zone", zones[fault.Zone], "no zone %q", fault.Zone)
-		require(prefix+"size", FaultKinds[fault.Kind] == "" || fault.Size > 0, "%s wants a size: %s", fault.Kind, FaultKinds[fault.Kind])
+		require(prefix+"count", fault.Count == 0 || fault.Share == 0, "count %d and share %v exclude each other", fault.Count, fault.Share)
+		require(prefix+"zone", zones[fault.Zone], "unknown zone %q", fault.Zone)
+		require(prefix+"size", FaultKinds[fault.Kind] == "" || fault.Size > 0, "%s needs a size: %s", fault.Kind, FaultKinds[fault.Kind])
 		if fault.Kind == "proxy-waves" {
 			oneOf(prefix+"by", fault.Mode, "term", "kill", "upgrade", "mixed")
-			require(prefix+"for", fault.Duration > 0, "waves want a span over which they go on")
+			require(prefix+"for", fault.Duration > 0, "proxy-waves needs a duration")
 		}
-		require(prefix+"to", zones[fault.ToZone] && (fault.ToZone == "" || fault.ToZone != fault.Zone && strings.HasPrefix(fault.Kind, "way-")), "%q is no other zone of a way", fault.ToZone)
+		require(prefix+"to", zones[fault.ToZone] && (fault.ToZone == "" || fault.ToZone != fault.Zone && strings.HasPrefix(fault.Kind, "way-")), "%q is not another zone, or the fault affects no links", fault.ToZone)
 		if fault.Kind == "proxy-signals" {
 			oneOf(prefix+"by", fault.Mode, SignalSeries...)
 		}
 		if fault.Kind == "crowd" {
 			inRange(prefix+"size", fault.Size, 1, 5000)
-			require(prefix+"for", fault.Duration > 0, "a span is wanted")
+			require(prefix+"for", fault.Duration > 0, "%s needs a duration", fault.Kind)
 		}
 		if strings.HasPrefix(fault.Kind, "site-") {
-			require(prefix+"zone", fault.Zone != "", "a site is wanted")
-			require(prefix+"for", fault.Duration > 0, "a span is wanted")
+			require(prefix+"zone", fault.Zone != "", "%s needs a zone", fault.Kind)
+			require(prefix+"for", fault.Duration > 0, "%s needs a duration", fault.Kind)
 		}
 		if strings.HasPrefix(fault.Kind, "way-") || fault.Kind == "list-lies" {
-			require(prefix+"zone", fault.Zone != "", "a zone is wanted")
+			require(prefix+"zone", fault.Zone != "", "%s needs a zone", fault.Kind)
 		}
 		if fault.Kind == "site-cut" || strings.HasPrefix(fault.Kind, "way-") {
 			oneOf(prefix+"by", fault.Mode, "", "both", "in", "out")
@@ -199,12 +228,12 @@
 			oneOf(prefix+"by", fault.Mode, "", "caches", "proxies", "together")
 		}
 		if fault.Kind == "stall" || fault.Kind == "throttle" {
-			require(prefix+"for", fault.Duration > 0, "a span is wanted")
+			require(prefix+"for", fault.Duration > 0, "%s needs a duration", fault.Kind)
 		}
 		if fault.Kind == "throttle" {
 			inRange(prefix+"size", fault.Size, 0.01, 1)
 		}
-		require(prefix+"name", fault.Kind != "runaway" && fault.Kind != "impatient" || fault.Name == "" || tenants[fault.Name], "no tenant %q", fault.Name)
+		require(prefix+"name", fault.Kind != "runaway" && fault.Kind != "impatient" || fault.Name == "" || tenants[fault.Name], "unknown tenant %q", fault.Name)
 	}
 	return err
 }
--- a/lab/experiment/experiment.go
+++ b/lab/experiment/experiment.go
@@ -1,6 +1,5 @@
-// Package experiment holds what an experiment file says: a deployment, its load, and what goes wrong when. Files are
-// TOML, decoded strictly; spans are written with their units ("250ms", "1m30s"). What is wrong is named by file, line
-// and field.
+// Package experiment reads experiment files: a deployment, its load, and a timeline of faults. Files are TOML and are decoded
+// strictly; durations are written with their unit ("250ms", "1m30s"). Errors name the file, the line and the field.
 package experiment
 
 import (
@@ -16,33 +15,33 @@
 	"minttray/strict"
 )
 
-// Duration is a span of time, written with its unit.
+// Duration is a time.Duration that is written with its unit.
 type Duration time.Duration
 
-// UnmarshalText reads "250ms".
+// UnmarshalText parses a duration such as "250ms".
 func (s *Duration) UnmarshalText(text []byte) error {
 	d, err := time.ParseDuration(string(text))
 	if err != nil {
-		return fmt.Errorf("%q is no span of time with a unit, such as \"250ms\"", text)
+		return fmt.Errorf("%q is not a duration with a unit, such as \"250ms\"", text)
 	}
 	*s = Duration(d)
 	return nil
 }
 
-// MarshalText writes it back.
+// MarshalText formats the duration with its unit.
 func (s Duration) MarshalText() ([]byte, error) { return []byte(time.Duration(s).String()), nil }
 
-// Std is the span as Go has it.
+// Std returns the duration as a time.Duration.
 func (s Duration) Std() time.Duration { return time.Duration(s) }
 
-// File is one experiment. Zero values stand for what Defaults says.
+// File is an experiment. Fields that a file leaves out have the values of Defaults.
 type File struct {
 	Name       string     `toml:"name"`
-	About      string     `toml:"about"`
-	From       string     `toml:"from"` // another file, of the same directory, that this one changes; it has no From itself
+	About      string     `toml:"about"` // what it shows
+	From       string     `toml:"from"`  // base file in the same directory, which this one modifies; a base file has no From
 	Seed       uint64     `toml:"seed"`
-	Length     Duration   `toml:"length"`
-	WarmUp     Duration   `toml:"warm"` // at the start, not counted in the figures; rules count from the first op
+	Length     Duration   `toml:"length"` // of the load, the warm-up included
+	WarmUp     Duration   `toml:"warm"`   // time from the start that statistics leave out; the rules apply from the first op
 	Proxies    Proxies    `toml:"proxies"`
 	Caches     Caches     `toml:"caches"`
 	Origin     Origin     `toml:"origin"`
@@ -58,166 +57,167 @@
 	Faults     []Fault    `toml:"fault"`
 
 	path  string
-	lines map[string]int
+	lines map[string]int // line number of each field in the file, for errors
 }
 
-// Proxies are the instances of minttray.
+// Proxies describes the proxy instances.
 type Proxies struct {
 	Count        int     `toml:"count"`
 	Cores        float64 `toml:"cores"`
 	MemoryMB     int     `toml:"memory_mb"`
-	Sockets      int     `toml:"sockets"`
-	PersistState bool    `toml:"learned"` // what they learn outlives a restart
-	DoubtShare   float64 `toml:"doubt"`   // share of the caches that a list may not lack at once; 0: each is believed
+	Sockets      int     `toml:"sockets"` // limit of open sockets
+	PersistState bool    `toml:"learned"` // store learned state on disk, so that it survives a restart
+	DoubtShare   float64 `toml:"doubt"`   // a list that lacks more than this share of the known caches is doubted; 0: never
 }
 
-// Caches are the cache servers, all alike but for their kind.
+// Caches describes the cache servers, which differ in their machine kind alone.
 type Caches struct {
 	Count             int      `toml:"count"`
-	Mode              string   `toml:"mode"` // aside: a miss goes back; through: the cache fetches
+	Mode              string   `toml:"mode"` // on a miss: aside, the cache answers with a miss; through, it fetches from the origin
 	Cores             int      `toml:"cores"`
-	QueueLimit        int      `toml:"queue"` // places to wait in
+	QueueLimit        int      `toml:"queue"` // requests that may wait for a core
 	MemoryMB          float64  `toml:"memory_mb"`
 	MaxConns          int      `toml:"connections"`
-	HandshakeWork     Duration `toml:"handshake"` // work of a new connection
-	ColdCapacityShare float64  `toml:"cold_from"` // share of its capacity that one has right after its start
-	WarmUp            Duration `toml:"warm_up"`
-	CancelMode        string   `toml:"cancel"` // what a push that is given up stops: all, queued, none
+	HandshakeWork     Duration `toml:"handshake"` // core time of a new connection
+	ColdCapacityShare float64  `toml:"cold_from"` // share of the capacity right after a cold start
+	WarmUp            Duration `toml:"warm_up"`   // from a cold start to full capacity
+	CancelMode        string   `toml:"cancel"`    // work cancelled when a proxy closes its connection: all, queued, none
 	ReportEvery       Duration `toml:"report_every"`
-	SmallShare        float64  `toml:"small"` // share of them that are of the kind "small": half the cores
-	Prefilled         bool     `toml:"full"`  // hold the most asked keys at the start
+	SmallShare        float64  `toml:"small"` // share of caches of the machine kind "small", which has half the cores
+	Prefilled         bool     `toml:"full"`  // start with the most requested keys stored
 }
 
-// Origin is what all caches are filled from.
+// Origin describes the origin server, from which all caches are filled.
 type Origin struct {
 	Cores         int      `toml:"cores"`
-	QueueLimit    int      `toml:"queue"`
-	Work          Duration `toml:"work"`   // of a fetch, mean
-	QueueSlowdown float64  `toml:"thrash"` // slower by this share for each core's worth that waits
+	QueueLimit    int      `toml:"queue"`  // requests that may wait for a core
+	Work          Duration `toml:"work"`   // mean core time of a fetch
+	QueueSlowdown float64  `toml:"thrash"` // relative slowdown for each waiting request per core
 }
 
-// Zones are places with a delay between them.
+// Zones describes the zones, in which caches and proxies are spread evenly.
 type Zones struct {
 	Names []string `toml:"names"`
-	Delay Duration `toml:"delay"` // one way
+	Delay Duration `toml:"delay"` // one way, between two zones
 }
 
-// List is how the list of caches reaches the proxies.
+// Discovery describes how changes of the list of caches reach the proxies.
 type Discovery struct {
-	Delay         Duration `toml:"late"`
-	BatchInterval Duration `toml:"every"` // an agent takes news at most so often, all that has come by then together; 0: each by itself
+	Delay         Duration `toml:"late"`  // maximum delay of a change
+	BatchInterval Duration `toml:"every"` // an agent applies the changes of an interval together; 0: each at once
 }
 
 // Category is a kind of op.
 type Category struct {
 	Name        string   `toml:"name"`
-	Share       float64  `toml:"share"`
-	Work        Duration `toml:"work"` // mean
-	Target      Duration `toml:"target"`
-	TTL         Duration `toml:"ttl"`
-	Benefit     float64  `toml:"benefit"`
-	Effect      string   `toml:"effect"` // redeliverable, deduplicated, at-most-once
-	DedupGroup  string   `toml:"group"`  // of a deduplicated one: all, zone
-	DedupWindow Duration `toml:"window"`
+	Share       float64  `toml:"share"`   // of the load
+	Work        Duration `toml:"work"`    // mean core time at a cache
+	Target      Duration `toml:"target"`  // latency up to which an answer earns its benefit
+	TTL         Duration `toml:"ttl"`     // deadline of an op
+	Benefit     float64  `toml:"benefit"` // value of an answer in time
+	Effect      string   `toml:"effect"`  // redeliverable, deduplicated, at-most-once
+	DedupGroup  string   `toml:"group"`   // caches that share the deduplication: all, zone
+	DedupWindow Duration `toml:"window"`  // how long a deduplicated op is remembered
 	Write       bool     `toml:"write"`
-	Size        int      `toml:"size"` // bytes of a value
+	Size        int      `toml:"size"` // of a value, in bytes
 }
 
-// Tenant is whom ops come from.
+// Tenant is a tenant and its part of the load.
 type Tenant struct {
 	Name  string  `toml:"name"`
 	Share float64 `toml:"share"` // of the load
-	Quota float64 `toml:"quota"` // ops a second
+	Quota float64 `toml:"quota"` // ops per second
 }
 
-// Keys are what ops name.
+// Keys describes the popularity of keys, a Zipf distribution.
 type Keys struct {
 	Count          int     `toml:"count"`
 	ZipfExponent   float64 `toml:"zipf"`
-	DriftPerSecond float64 `toml:"drift"` // share of the ranks that go to other keys each second
+	DriftPerSecond float64 `toml:"drift"` // share of the ranks that are given to other keys each second
 }
 
-// Load is the arrivals: Poisson, at a rate, with surges.
+// Load describes the arrivals: a Poisson process with surges.
 type Load struct {
-	Rate   float64 `toml:"rate"`
+	Rate   float64 `toml:"rate"` // ops per second
 	Surges []Surge `toml:"surge"`
 }
 
-// Surge multiplies the rate for a while.
+// Surge multiplies the rate for a time.
 type Surge struct {
 	Start    Duration `toml:"at"`
 	Duration Duration `toml:"for"`
 	Factor   float64  `toml:"times"`
 }
 
-// Clients are how those who ask behave.
+// Clients describes the behaviour of clients.
 type Clients struct {
-	Retries         int      `toml:"retries"`
-	RetryDelay      Duration `toml:"wait"`     // before a try that comes again, without advice
-	TryTimeoutShare float64  `toml:"patience"` // share of the TTL after which a try is given up
-	LeaveShare      float64  `toml:"leave"`    // share of the tries whose client goes away early
-	RetryAfterShare float64  `toml:"heed"`     // share of the clients that heed a come-back time
-	MarkRetries     bool     `toml:"marks"`
+	Retries         int      `toml:"retries"`  // maximum per op
+	RetryDelay      Duration `toml:"wait"`     // before a retry without a retry-after time
+	TryTimeoutShare float64  `toml:"patience"` // time-out of a try, as a share of the TTL
+	LeaveShare      float64  `toml:"leave"`    // share of the tries whose client disconnects early
+	RetryAfterShare float64  `toml:"heed"`     // share of the clients that respect a retry-after time
+	MarkRetries     bool     `toml:"marks"`    // retries are marked as such
 }
 
-// Front deals clients' connections to proxies, and goes on sending to a dead one for a while.
+// Balancer describes the balancer in front of the proxies.
 type Balancer struct {
-	DetectionDelay Duration `toml:"notice"`
+	DetectionDelay Duration `toml:"notice"` // for which it still sends connections to a dead proxy
 }
 
-// Rules are the figures of the four rules.
+// Rules are the parameters of the rules by which a run is judged.
 type Rules struct {
-	DrainGrace            Duration `toml:"grace"` // after the list said that a cache drains or has gone
+	DrainGrace            Duration `toml:"grace"` // for pushes to a cache after the list announced it as leaving or gone
 	OverloadFactor        float64  `toml:"fall_multiple"`
 	OverloadWindow        Duration `toml:"tip_after"`
-	MaxPushes             int      `toml:"most_pushes"`
-	AllowConcurrentPushes bool     `toml:"two_at_once"`
+	MaxPushes             int      `toml:"most_pushes"` // per op
+	AllowConcurrentPushes bool     `toml:"two_at_once"` // of one op
 	MaxRetryAfter         Duration `toml:"max_come_back"`
-	MaxRefusalDelay       Duration `toml:"held"`  // a refusal so long after the op's last push is held back; 0: half of its category's TTL
-	Slack                 Duration `toml:"slack"` // for the machine's own delays
+	MaxRefusalDelay       Duration `toml:"held"`  // from the last push of an op to its refusal; 0: half of the TTL of its category
+	Slack                 Duration `toml:"slack"` // tolerance for delays of the machine
 }
 
-// Fault is one line of the timeline.
+// Fault is one fault of the timeline.
 type Fault struct {
-	Start       Duration `toml:"at"`
-	Duration    Duration `toml:"for"`
+	Start       Duration `toml:"at"`  // from the start of the load
+	Duration    Duration `toml:"for"` // 0: until the end, or not applicable
 	Kind        string   `toml:"kind"`
-	Count       int      `toml:"count"`
-	Share       float64  `toml:"share"`
-	Zone        string   `toml:"zone"`
-	MachineKind string   `toml:"of"` // a machine kind: std, small
-	Size        float64  `toml:"size"`
-	BatchShare  float64  `toml:"batch"` // of a roll or deploy: share at a time
-	Downtime    Duration `toml:"down"`
-	Mode        string   `toml:"by"`   // of waves: term, kill, upgrade, mixed; of signals: one of Signals
-	Name        string   `toml:"name"` // of a tenant
-	ToZone      string   `toml:"to"`   // of a way: the other zone; empty: all others
-
-	LosesOrigin bool `toml:"origin"` // of a lost site: the origin stands there, and is gone with it
-	NewIDs      bool `toml:"anew"`   // its caches come back under new ids
+	Count       int      `toml:"count"` // of the caches or proxies affected; excludes Share
+	Share       float64  `toml:"share"` // of the caches or proxies affected
+	Zone        string   `toml:"zone"`  // of the caches or proxies affected; empty: all zones
+	MachineKind string   `toml:"of"`    // of the caches affected: std, small; empty: both
+	Size        float64  `toml:"size"`  // see FaultKinds
+	BatchShare  float64  `toml:"batch"` // of rolling restarts and deploys: share restarted at a time
+	Downtime    Duration `toml:"down"`  // of restarts: until a process starts again
+	Mode        string   `toml:"by"`    // of proxy-waves: term, kill, upgrade, mixed; of proxy-signals: one of SignalSeries; of links: direction; of site-lost: what returns first
+	Name        string   `toml:"name"`  // of the tenant affected
+	ToZone      string   `toml:"to"`    // of link faults: the other zone; empty: all others
+
+	LosesOrigin bool `toml:"origin"` // of site-lost: the origin is at that site and is lost with it
+	NewIDs      bool `toml:"anew"`   // of site-lost: its caches return under new ids
 }
 
-// Kinds are the faults there are, and what Size means for each.
+// FaultKinds maps each kind of fault to the meaning of its Size; empty: it has none.
 var FaultKinds = map[string]string{
 	"kill": "", "replace": "", "drain": "", "deploy": "", "still": "", "vanish": "", "reset": "",
-	"slow": "times slower", "refuse": "share turned away", "spoil": "share of answers spoilt",
-	"lose": "share of answers that never come", "error": "share of pushes that fail quickly", "flush": "share of kept copies",
-	"hot-key": "share of the load", "runaway": "times its load", "hot-proxy": "share of the load", "grow": "caches more",
-	"origin-slow": "times slower", "origin-stop": "", "list-late": "seconds later", "list-silent": "", "list-empty": "", "list-lies": "",
-	"site-lost": "", "site-cut": "", "site-hand": "", "stall": "", "throttle": "share of the time that a process is run", "retune": "times the tenants' quotas",
-	"way-slow": "seconds more", "way-lose": "share of new connections that stay silent", "way-reset": "share of connections", "way-thin": "KB a second on each connection",
-	"proxy-kill": "", "proxy-signals": "", "crowd": "idle connections to each proxy", "proxy-term": "", "proxy-roll": "", "proxy-upgrade": "", "proxy-waves": "", "hand": "", "lameduck": "", "impatient": "share of the usual patience",
+	"slow": "slowdown factor", "refuse": "share of requests refused", "spoil": "share of answers corrupted",
+	"lose": "share of answers dropped", "error": "share of pushes that fail at once", "flush": "share of stored keys removed",
+	"hot-key": "share of the load", "runaway": "factor on the tenant's load", "hot-proxy": "share of the load", "grow": "number of new caches",
+	"origin-slow": "slowdown factor", "origin-stop": "", "list-late": "additional seconds", "list-silent": "", "list-empty": "", "list-lies": "",
+	"site-lost": "", "site-cut": "", "site-hand": "", "stall": "", "throttle": "share of the time that a process runs", "retune": "factor on the tenants' quotas",
+	"way-slow": "additional seconds", "way-lose": "share of new connections that carry no data", "way-reset": "share of connections reset", "way-thin": "KB per second of each connection",
+	"proxy-kill": "", "proxy-signals": "", "crowd": "idle connections to each proxy", "proxy-term": "", "proxy-roll": "", "proxy-upgrade": "", "proxy-waves": "", "hand": "", "lameduck": "", "impatient": "factor on the try time-out",
 }
 
-// Signals are the series of signals that a proxy can be sent; each ends its process.
+// SignalSeries are the series of signals that a proxy can be sent; each ends its process.
 var SignalSeries = []string{"term-twice", "hup-in-drain", "hups", "kill-after-term"}
 
 const (
-	maxCountedDeadline = 3 * time.Second        // as far as it counts for the end of a process
-	killMargin         = 700 * time.Millisecond // past the longest deadline
+	maxCountedDeadline = 3 * time.Second        // longer deadlines do not delay a SIGKILL further
+	killMargin         = 700 * time.Millisecond // from the longest counted deadline to a SIGKILL
 )
 
-// KillAfter is how long after SIGTERM a process is killed at the earliest: the longest deadline of the deployment, and a margin.
+// KillAfter returns how long after SIGTERM a process may be killed at the earliest: the longest deadline of the deployment and a
+// margin.
 func (f *File) KillAfter() time.Duration {
 	longest := time.Duration(0)
 	for _, c := range f.Categories {
@@ -226,20 +226,20 @@
 	return min(longest, maxCountedDeadline) + killMargin
 }
 
-// ZoneOf is the zone of a proxy, by its number.
+// ZoneOfProxy returns the zone index of a proxy.
 func (f *File) ZoneOfProxy(proxy int) int { return proxy % len(f.Zones.Names) }
 
-// Zone is a zone's number by its name, -1 for none.
+// ZoneIndex returns the index of a zone, or -1 for an unknown name.
 func (f *File) ZoneIndex(name string) int { return slices.Index(f.Zones.Names, name) }
 
-// Cuts tells whether ways between processes break: only then does the lab stand between them.
+// BreaksLinks reports whether the timeline has link faults. Only then does the laboratory wrap connections to inject them.
 func (f *File) BreaksLinks() bool {
 	return slices.ContainsFunc(f.Faults, func(x Fault) bool {
 		return x.Kind == "site-cut" || x.Kind == "site-lost" && x.LosesOrigin || strings.HasPrefix(x.Kind, "way-")
 	})
 }
 
-// Operated tells whether operators call the proxies: else these are not told where to listen for that.
+// NeedsControl reports whether the timeline calls the control ports of the proxies. Only then are these configured.
 func (f *File) NeedsControl() bool {
 	return slices.ContainsFunc(f.Faults, func(x Fault) bool {
 		return x.Kind == "hand" || x.Kind == "site-hand" || x.Kind == "retune" || x.Kind == "proxy-upgrade" || x.Kind == "lameduck" ||
@@ -247,7 +247,7 @@
 	})
 }
 
-// Read decodes and checks a file. overlay holds key=value pairs that replace what it says (for sweeps).
+// Read decodes and checks a file. overlay holds key=value pairs that override its fields, as sweeps need them.
 func Read(path string, overlay ...string) (*File, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -256,14 +256,14 @@
 	return Decode(path, text, overlay...)
 }
 
-// Decode takes a file's text apart.
+// Decode decodes and checks the text of a file; path names it in errors and locates its base file.
 func Decode(path string, text []byte, overlay ...string) (*File, error) {
 	f := Defaults()
 	f.path, f.lines = path, strict.Lines(string(text))
 	var head struct {
 		From string `toml:"from"`
 	}
-	if toml.Unmarshal(text, &head); head.From != "" { // what is wrong with the text is found below
+	if toml.Unmarshal(text, &head); head.From != "" { // errors of the text are reported by the strict decoding below
 		base := filepath.Join(filepath.Dir(path), filepath.Base(head.From))
 		baseText, err := os.ReadFile(base)
 		if err != nil {
@@ -273,7 +273,7 @@
 			return nil, err
 		}
 		if f.From != "" {
-			return nil, fmt.Errorf("%s: from: a file that others start from has none itself", base)
+			return nil, fmt.Errorf("%s: from: a base file cannot have a base file itself, got %q", base, f.From)
 		}
 	}
 	if err := strict.Decode(path, string(text), f); err != nil {
@@ -282,7 +282,7 @@
 	for _, assignment := range overlay {
 		table, value, ok := strings.Cut(assignment, "=")
 		if !ok {
-			return nil, fmt.Errorf("%s: no key=value", assignment)
+			return nil, fmt.Errorf("override %q: want key=value", assignment)
 		}
 		line := value
 		if _, err := time.ParseDuration(value); err == nil && strings.Trim(value, "0123456789.") != "" {
--- a/lab/faults/faults.go
+++ b/lab/faults/faults.go
@@ -1,5 +1,5 @@
-// Package faults plays an experiment's timeline against the world and the proxies. What it picks hangs on the seed and
-// the fault's place in the file alone.
+// Package faults injects the faults of an experiment's timeline into the stand-ins and the proxies. The caches and proxies that a fault
+// affects are selected by the seed and by the fault's position in the file alone.
 package faults
 
 import (
@@ -12,50 +12,65 @@
 	"minttray/lab/world"
 )
 
-// Fleet is the proxies, as faults act on them.
+// Fleet controls the proxies' processes. Proxies are numbered from 0.
 type Fleet interface {
+	// Count returns the number of proxies.
 	Count() int
-	Kill(n int)                                                          // SIGKILL
-	Terminate(n int)                                                     // SIGTERM; it comes back by Start
-	Start(n int) error                                                   // a new process at the same address
-	SendSignals(n int, series string)                                    // one of experiment.Signals; it comes back by Start
-	HoldIdleConns(n, size int, span time.Duration)                       // idle connections of clients
-	Upgrade(n int) error                                                 // a new process beside the old one, which then ends
-	SetLameduck(n int, away bool) error                                  // an operator sends clients away, or has them taken again
-	IdleConns(n int) int                                                 // clients' connections there with nothing out
-	SetCacheDetached(n int, cache string, number uint32, out bool) error // an operator takes a cache out, or calls it back
+	// Kill ends a proxy with SIGKILL.
+	Kill(n int)
+	// Terminate ends a proxy with SIGTERM.
+	Terminate(n int)
+	// Start starts a proxy that has ended, at the same address.
+	Start(n int) error
+	// SendSignals sends a series of experiment.SignalSeries, which ends the proxy.
+	SendSignals(n int, series string)
+	// HoldIdleConns holds a number of idle client connections to a proxy for a duration.
+	HoldIdleConns(n, size int, duration time.Duration)
+	// Upgrade starts a new process beside the old one, which then ends.
+	Upgrade(n int) error
+	// SetLameduck has a proxy send its clients away, or accept them again.
+	SetLameduck(n int, lameduck bool) error
+	// IdleConns returns the number of client connections to a proxy without an open request.
+	IdleConns(n int) int
+	// SetCacheDetached detaches a cache from a proxy by an operator's call, or attaches it again.
+	SetCacheDetached(n int, cache string, number uint32, detach bool) error
+	// Agent returns the discovery agent of a proxy.
 	Agent(n int) *world.Agent
-	SetSiteDetached(n int, site string, caches []uint32, out bool, over time.Duration) error // an operator takes a site out, or calls it back
-	ReloadQuotas(n int, quotas float64) error                                                // new settings by SIGHUP, taken
-	SetStopped(n int, still bool)                                                            // SIGSTOP, SIGCONT
-	Throttle(n int, share float64, span time.Duration)                                       // the same in turns, excusing nothing
+	// SetSiteDetached detaches a site from a proxy over a duration by an operator's call, or attaches it again.
+	SetSiteDetached(n int, site string, caches []uint32, detach bool, spread time.Duration) error
+	// ReloadQuotas multiplies the tenants' quotas by a factor in a proxy's settings, and has it reload them.
+	ReloadQuotas(n int, factor float64) error
+	// SetStopped stops a proxy with SIGSTOP, or lets it continue.
+	SetStopped(n int, stopped bool)
+	// Throttle lets a proxy run for a share of the time by SIGSTOP and SIGCONT. Unlike SetStopped it excuses no broken rule.
+	Throttle(n int, share float64, duration time.Duration)
 }
 
-// Event is what was done, for plots and reports.
+// Event is a fault that started or ended, for plots and reports.
 type Event struct {
-	At   float64 `json:"at"`
-	What string  `json:"what"`
+	At   float64 `json:"at"`   // seconds from the start of the load
+	What string  `json:"what"` // kind of the fault, or a description
 }
 
-// Player plays a timeline.
+// Player injects the faults of a timeline.
 type Player struct {
 	world      *world.World
 	fleet      Fleet
-	mu         sync.Mutex
+	mu         sync.Mutex // guards events and errs
 	events     []Event
 	errs       []error
 	running    sync.WaitGroup
 	stop       <-chan struct{}
-	start      time.Duration
-	restarting []sync.Mutex // by proxy: held while a fault ends its process and brings it back
+	start      time.Duration // of the load, on the run's clock
+	restarting []sync.Mutex  // by proxy: held while a fault ends and restarts its process
 }
 
-// New makes one; times count from a moment of the run's clock.
-func New(w *world.World, fleet Fleet, from time.Duration, stop <-chan struct{}) *Player {
-	return &Player{world: w, fleet: fleet, start: from, stop: stop, restarting: make([]sync.Mutex, fleet.Count())}
+// New makes a player of the world's experiment. start is the start of the timeline on the run's clock; closing stop ends all waits.
+func New(w *world.World, fleet Fleet, start time.Duration, stop <-chan struct{}) *Player {
+	return &Player{world: w, fleet: fleet, start: start, stop: stop, restarting: make([]sync.Mutex, fleet.Count())}
 }
 
-// Run plays all faults and returns when the last is over.
+// Run injects all faults and returns when the last one has ended.
 func (p *Player) Run() {
 	for n, f := range p.world.Experiment.Faults {
 		p.running.Add(1)
@@ -69,31 +84,34 @@
 	p.running.Wait()
 }
 
-// Events are what was done; errors are what could not be.
+// Events returns the events so far, and the errors of faults that could not be injected.
 func (p *Player) Events() ([]Event, []error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.events, p.errs
 }
 
-func (p *Player) sleep(span time.Duration) bool {
-	if span <= 0 {
+// sleep waits for a duration. It returns false when the run is stopped meanwhile.
+func (p *Player) sleep(duration time.Duration) bool {
+	if duration <= 0 {
 		return true
 	}
 	select {
-	case <-time.After(span):
+	case <-time.After(duration):
 		return true
 	case <-p.stop:
 		return false
 	}
 }
 
+// recordEvent adds an event at the present time.
 func (p *Player) recordEvent(description string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.events = append(p.events, Event{(p.world.Now() - p.start).Seconds(), description})
 }
 
+// recordError adds an error, unless it is nil.
 func (p *Player) recordError(err error) {
 	if err != nil {
 		p.mu.Lock()
@@ -102,7 +120,7 @@
 	}
 }
 
-// picked are the caches that a fault is about.
+// pickCaches selects the running caches that a fault affects: of a zone or a machine kind all, unless it has a count or a share.
 func (p *Player) pickCaches(n uint64, f experiment.Fault) []*world.Cache {
 	var caches []*world.Cache
 	for _, c := range p.world.Caches() {
@@ -121,24 +139,25 @@
 	return world.Pick(p.world.Experiment.Seed, n, caches, count, share)
 }
 
-// set changes what is wrong with servers for the fault's span.
+// applyForDuration changes the faults of servers, and changes them back after the duration of the fault.
 func (p *Player) applyForDuration(f experiment.Fault, targets []*world.Faults, change func(*world.Faults, bool)) {
-	for _, x := range targets {
-		x.Update(func(x *world.Faults) { change(x, true) })
+	for _, target := range targets {
+		target.Update(func(faults *world.Faults) { change(faults, true) })
 	}
 	if f.Duration > 0 {
 		p.sleep(f.Duration.Std())
-		for _, x := range targets {
-			x.Update(func(x *world.Faults) { change(x, false) })
+		for _, target := range targets {
+			target.Update(func(faults *world.Faults) { change(faults, false) })
 		}
 		p.recordEvent(f.Kind + " is over")
 	}
 }
 
+// inject injects one fault, and returns when it has ended. n is its position in the file.
 func (p *Player) inject(n uint64, f experiment.Fault) {
 	p.recordEvent(f.Kind)
 	switch f.Kind {
-	case "hot-key", "runaway", "hot-proxy", "impatient": // the load's own
+	case "hot-key", "runaway", "hot-proxy", "impatient": // injected by the load generator
 		if f.Duration > 0 && p.sleep(f.Duration.Std()) {
 			p.recordEvent(f.Kind + " is over")
 		}
@@ -224,7 +243,7 @@
 	}
 }
 
-// some are the proxies that a fault is about: of a zone, all unless it says how many.
+// pickProxies selects the proxies that a fault affects: of a zone all, unless it has a count or a share.
 func (p *Player) pickProxies(n uint64, f experiment.Fault) []int {
 	var proxies []int
 	for i := range p.fleet.Count() {
@@ -239,6 +258,7 @@
 	return world.Pick(p.world.Experiment.Seed, n, proxies, f.Count, share)
 }
 
+// sizeIf returns the size of a fault that is on, and 0 otherwise.
 func sizeIf(on bool, size float64) float64 {
 	if on {
 		return size
@@ -246,6 +266,7 @@
 	return 0
 }
 
+// injectCacheFault injects a fault of caches.
 func (p *Player) injectCacheFault(n uint64, f experiment.Fault) {
 	caches := p.pickCaches(n, f)
 	var targets []*world.Faults
@@ -280,7 +301,7 @@
 				c.Kill()
 			}
 		}
-	case "deploy": // waves: drain, end, a successor at the same address
+	case "deploy": // in batches: drain, kill, start a successor at the same address
 		batch := max(int(f.BatchShare*float64(len(p.world.Caches()))+0.5), 1)
 		for len(caches) > 0 {
 			wave := caches[:min(batch, len(caches))]
@@ -324,10 +345,11 @@
 	}
 }
 
-const lameduckTimeout = 4 * time.Second // from the call until no client is left
+// lameduckTimeout is how long a proxy may take to close its idle connections in lameduck mode.
+const lameduckTimeout = 4 * time.Second
 
-// lameduck has operators send clients away from some proxies, and take them again. Each of the call's promises that is not
-// kept is a failure of the run.
+// lameduckProxies sets proxies to lameduck mode for the duration of the fault. Idle connections that a proxy still holds after
+// lameduckTimeout are an error of the run.
 func (p *Player) lameduckProxies(n uint64, f experiment.Fault) {
 	proxies := p.pickProxies(n, f)
 	for _, i := range proxies {
@@ -336,7 +358,7 @@
 	if p.sleep(min(f.Duration.Std(), lameduckTimeout)); f.Duration.Std() >= lameduckTimeout {
 		for _, i := range proxies {
 			if open := p.fleet.IdleConns(i); open > 0 {
-				p.recordError(fmt.Errorf("proxy %d holds %d idle connections %v after clients were sent away", i, open, lameduckTimeout))
+				p.recordError(fmt.Errorf("proxy %d holds %d idle connections %v after the start of lameduck mode", i, open, lameduckTimeout))
 			}
 		}
 	}
@@ -347,7 +369,7 @@
 	p.recordEvent(f.Kind + " is over")
 }
 
-// hand has operators take caches out at every proxy, and call them back.
+// detachCaches detaches caches from all proxies for the duration of the fault.
 func (p *Player) detachCaches(n uint64, f experiment.Fault) {
 	caches := p.pickCaches(n, f)
 	setDetached := func(detach bool) {
@@ -363,21 +385,24 @@
 	p.recordEvent(f.Kind + " is over")
 }
 
-// waves restarts proxies round and round, a batch at a time, for a span; the next batch begins while the last is still down,
-// if it is for longer than the pause between two.
+// wavePause is the time between two batches of restartInWaves.
+const wavePause = 1500 * time.Millisecond
+
+// restartInWaves restarts all proxies in turn, a batch at a time, for the duration of the fault. Where the downtime is longer than
+// wavePause, the next batch ends while the previous one is still down.
 func (p *Player) restartInWaves(f experiment.Fault) {
-	const pause = 1500 * time.Millisecond
-	n, batch := p.fleet.Count(), max(int(f.BatchShare*float64(p.fleet.Count())+0.5), 1)
+	n := p.fleet.Count()
+	batch := max(int(f.BatchShare*float64(n)+0.5), 1)
 	modes := []string{"term", "kill", "upgrade"}
 	var wait sync.WaitGroup
 	for next, deadline := 0, time.Now().Add(f.Duration.Std()); time.Now().Before(deadline); {
 		for range batch {
 			i, mode := next%n, f.Mode
 			if mode == "mixed" {
-				mode = modes[(next+next/n)%len(modes)] // each proxy comes by each of them in its turns
+				mode = modes[(next+next/n)%len(modes)] // each proxy is restarted in each mode in turn
 			}
 			next++
-			if !p.restarting[i].TryLock() { // it is still on its way from its last turn
+			if !p.restarting[i].TryLock() { // its previous restart is not complete
 				continue
 			}
 			wait.Add(1)
@@ -398,7 +423,7 @@
 				}
 			}()
 		}
-		if !p.sleep(pause) {
+		if !p.sleep(wavePause) {
 			break
 		}
 	}
@@ -406,7 +431,7 @@
 	p.recordEvent(f.Kind + " are over")
 }
 
-// crowd has idle clients hold connections to some proxies.
+// holdIdleConns holds idle client connections to proxies for the duration of the fault.
 func (p *Player) holdIdleConns(n uint64, f experiment.Fault) {
 	var done sync.WaitGroup
 	for _, i := range p.pickProxies(n, f) {
@@ -420,7 +445,7 @@
 	p.recordEvent(f.Kind + " is over")
 }
 
-// proxies ends some and brings them back, one batch after another.
+// restartProxies ends proxies and starts them again, one batch after another.
 func (p *Player) restartProxies(n uint64, f experiment.Fault) {
 	proxies := p.pickProxies(n, f)
 	batch := len(proxies)
@@ -430,7 +455,8 @@
 	for len(proxies) > 0 {
 		wave := proxies[:min(batch, len(proxies))]
 		proxies = proxies[len(wave):]
-		// Danger: two faults that end one process would have the second's SIGKILL taken for the first's, and start it twice.
+		// Skip proxies that another fault is restarting: the SIGKILL of one fault would be attributed to the other, and the process
+		// started twice.
 		wave = slices.DeleteFunc(slices.Clone(wave), func(i int) bool { return !p.restarting[i].TryLock() })
 		var ended sync.WaitGroup
 		for _, i := range wave {
@@ -450,14 +476,14 @@
 			}()
 		}
 		ended.Wait()
-		notStopped := p.sleep(f.Downtime.Std())
+		completed := p.sleep(f.Downtime.Std())
 		for _, i := range wave {
-			if f.Kind != "proxy-upgrade" && notStopped {
+			if f.Kind != "proxy-upgrade" && completed {
 				p.recordError(p.fleet.Start(i))
 			}
 			p.restarting[i].Unlock()
 		}
-		if !notStopped {
+		if !completed {
 			return
 		}
 	}
--- a/lab/faults/sites.go
+++ b/lab/faults/sites.go
@@ -10,13 +10,21 @@
 	"minttray/lab/world"
 )
 
-// siteLost takes a whole site away in one moment: its caches, its proxies and, if it stands there, the origin. They return in
-// the order that the fault says, the second kind a while after the first; the site's replica of the list may be late.
+// loseSite ends all processes of a site at once: its caches, its proxies and, where the fault says so, the links of the origin. Caches
+// and proxies return in the order that the fault demands, the second group after its downtime. The site's replica of the list of caches
+// may lag behind until both are back.
 func (p *Player) loseSite(f experiment.Fault) {
-	caches, proxies := p.pickCaches(0, experiment.Fault{Zone: f.Zone}), p.pickProxies(0, experiment.Fault{Zone: f.Zone})
+	caches := p.pickCaches(0, experiment.Fault{Zone: f.Zone})
+	proxies := p.pickProxies(0, experiment.Fault{Zone: f.Zone})
 	restoreLinks := func() {}
 	if f.LosesOrigin {
-		restoreLinks = p.addLinkRule(ways.Rule{Local: p.world.OriginEndpoint(), Remote: ways.Endpoint{Site: ways.AnySite}, Outbound: true, Inbound: true, Cut: true})
+		restoreLinks = p.addLinkRule(ways.Rule{
+			Local:    p.world.OriginEndpoint(),
+			Remote:   ways.Endpoint{Site: ways.AnySite},
+			Outbound: true,
+			Inbound:  true,
+			Cut:      true,
+		})
 	}
 	var ended sync.WaitGroup
 	for _, i := range proxies {
@@ -32,13 +40,13 @@
 	ended.Wait()
 	p.sleep(f.Duration.Std())
 	restoreLinks()
-	if f.Share > 0 { // so many of its caches return
+	if f.Share > 0 { // only this share of the caches returns
 		caches = world.Pick(p.world.Experiment.Seed, 0, caches, 0, f.Share)
 	}
 	for _, i := range proxies {
 		p.fleet.Agent(i).SetFault(false, false, time.Duration(f.Size*float64(time.Second)))
 	}
-	restart := []func(){func() {
+	restartCaches := func() {
 		for _, c := range caches {
 			if f.NewIDs {
 				_, err := p.world.Replace(c)
@@ -47,7 +55,8 @@
 				p.recordError(c.Restart())
 			}
 		}
-	}, func() {
+	}
+	restartProxies := func() {
 		var started sync.WaitGroup
 		for _, i := range proxies {
 			started.Add(1)
@@ -57,23 +66,24 @@
 			}()
 		}
 		started.Wait()
-	}}
+	}
+	restartFirst, restartSecond := restartCaches, restartProxies
 	if f.Mode == "proxies" {
-		restart[0], restart[1] = restart[1], restart[0]
+		restartFirst, restartSecond = restartProxies, restartCaches
 	}
-	restart[0]()
+	restartFirst()
 	p.recordEvent(f.Kind + ", the first are back")
 	if f.Mode != "together" {
 		p.sleep(f.Downtime.Std())
 	}
-	restart[1]()
+	restartSecond()
 	for _, i := range proxies {
 		p.fleet.Agent(i).SetFault(false, false, 0)
 	}
 	p.recordEvent(f.Kind + " is over")
 }
 
-// breaks puts a rule, and books that ways are broken until it is over.
+// addLinkRule adds a link rule, and records a link fault until the rule is removed.
 func (p *Player) addLinkRule(r ways.Rule) (remove func()) {
 	record := func(on uint32) {
 		p.world.Ledger.Append(ledger.Record{Kind: ledger.LinkFault, At: p.world.Now(), C: on})
@@ -86,11 +96,16 @@
 	}
 }
 
-// ways breaks what is between a zone and another, or all others, in the direction that the fault says.
+// breakLinks injects a fault into the links between a zone and another, or all others, in the direction that the fault demands.
 func (p *Player) breakLinks(f experiment.Fault) {
 	exp := p.world.Experiment
-	r := ways.Rule{Local: ways.Endpoint{Site: exp.ZoneIndex(f.Zone)}, OtherSites: f.ToZone == "", Remote: ways.Endpoint{Site: exp.ZoneIndex(f.ToZone)},
-		Outbound: f.Mode != "in", Inbound: f.Mode != "out"}
+	r := ways.Rule{
+		Local:      ways.Endpoint{Site: exp.ZoneIndex(f.Zone)},
+		OtherSites: f.ToZone == "",
+		Remote:     ways.Endpoint{Site: exp.ZoneIndex(f.ToZone)},
+		Outbound:   f.Mode != "in",
+		Inbound:    f.Mode != "out",
+	}
 	switch f.Kind {
 	case "site-cut":
 		r.Cut = true
@@ -101,7 +116,7 @@
 	case "way-reset":
 		r.ResetShare = f.Size
 	case "way-thin":
-		r.BytesPerSecond = f.Size * 1024
+		r.BytesPerSecond = f.Size * bytesPerKB
 	}
 	restoreLinks := p.addLinkRule(r)
 	if f.Duration > 0 {
@@ -111,7 +126,11 @@
 	}
 }
 
-// siteHand has operators take a site out at every proxy, over a span, and call it back over the same.
+// bytesPerKB converts the size of a bandwidth limit, which is in KB per second.
+const bytesPerKB = 1024
+
+// detachSite detaches a site from all proxies for the duration of the fault, gradually over its downtime, and attaches it again in the
+// same way.
 func (p *Player) detachSite(f experiment.Fault) {
 	var numbers []uint32
 	for _, c := range p.pickCaches(0, experiment.Fault{Zone: f.Zone}) {
