--- a/cmd/mintbase/main.go
+++ b/cmd/mintbase/main.go
@@ -1,4 +1,5 @@
-// Command mintbase is a proxy with a plain rule in the module's place, for the lab to compare with. It is no daemon.
+// Command mintbase is a proxy that replaces minttray's decision module by a simple baseline rule, or by a deliberately faulty one, for
+// comparison in the laboratory. It is not meant for production.
 package main
 
 import (
@@ -20,9 +21,9 @@
 		fmt.Fprintln(os.Stderr, "mintbase: MINTBASE_RULE:", err)
 		os.Exit(2)
 	}
-	err := daemon.Main(func(s policy.Settings, seed uint64, h policy.Host) daemon.Module {
-		r, _ := baseline.New(name, s, seed, h) // the name was checked above
-		return r
+	err := daemon.Main(func(settings policy.Settings, seed uint64, host policy.Host) daemon.Module {
+		module, _ := baseline.New(name, settings, seed, host) // the name was checked above
+		return module
 	}, "")
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "mintbase:", err)
--- a/cmd/mintlab/main.go
+++ b/cmd/mintlab/main.go
@@ -1,4 +1,4 @@
-// Command mintlab is the laboratory: it plays experiments on real proxies among stand-ins, and judges them.
+// Command mintlab is the laboratory: it runs experiments with real proxies and stand-ins for all other servers, and judges the results.
 package main
 
 import (
@@ -24,30 +24,46 @@
 // Exit statuses.
 const (
 	exitPassed    = 0
-	exitViolation = 1 // a rule, or a proxy crashed
+	exitViolation = 1 // a rule was broken or a proxy crashed
 	exitBadInput  = 2 // unusable input
-	exitInvalid   = 3 // the run proves nothing
+	exitInvalid   = 3 // a run that proves nothing
 )
 
-// status is an error that only says how to exit; what there is to say has been said.
+// exitStatus is an error that carries the exit status alone; the message has been printed already.
 type exitStatus int
 
+// Error implements error.
 func (s exitStatus) Error() string { return fmt.Sprint("status ", int(s)) }
 
 func main() {
-	root := &cobra.Command{Use: "mintlab", SilenceUsage: true, SilenceErrors: true,
-		Short: "Plays experiments on real proxies among stand-in caches, origin and discovery, on loopback, and judges them.",
-		Long: `mintlab starts real proxies (bin/minttray) among stand-in caches, an origin and discovery agents, sends
-them open-loop load, lets things go wrong as an experiment file says, and judges from a ledger of all that
-was sent and answered whether the four rules were kept.
+	root := &cobra.Command{
+		Use:           "mintlab",
+		SilenceUsage:  true,
+		SilenceErrors: true,
+		Short:         "Runs experiments with real proxies and stand-in caches, origin and discovery on loopback, and judges them.",
+		Long: `mintlab starts real proxies (bin/minttray) with stand-in caches, an origin and discovery agents, sends
+them open-loop load, injects the faults of an experiment file, and judges from a ledger of all requests
+and answers whether the four rules were kept.
 
-    mintlab run experiments/calm.toml            one experiment; results under runs/
-    mintlab check experiments/*.toml             what is wrong with a file, by line and field
-    mintlab compare runs/A runs/B                two sets of runs side by side, on the same seeds
-    mintlab logs DIR                             what a fleet's proxies counted, summed by second
+    mintlab run experiments/calm.toml            run one experiment; results under runs/
+    mintlab check experiments/*.toml             report errors in files, by line and field
+    mintlab compare runs/A runs/B                compare two sets of runs with the same seeds
+    mintlab logs DIR                             sum the counters of a fleet's proxies by second
 
-Exit status: 0 rules kept, 1 a rule broken or a proxy crashed, 2 unusable input, 3 a run that proves nothing.`}
-	root.AddCommand(runCommand(), worldCommand(), checkCommand(), compareCommand(), reportCommand(), judgeCommand(), soakCommand(), logsCommand(), worthCommand(), planCommand())
+Exit status: 0 rules kept, 1 a rule broken or a proxy crashed, 2 unusable input, 3 a run that proves nothing.`,
+	}
+	root.AddCommand(
+		runCommand(),
+		worldCommand(),
+		checkCommand(),
+		compareCommand(),
+		reportCommand(),
+		judgeCommand(),
+		soakCommand(),
+		logsCommand(),
+		worthCommand(),
+		planCommand(),
+	)
 	if err := root.Execute(); err != nil {
 		var s exitStatus
 		if errors.As(err, &s) {
@@ -58,50 +74,61 @@
 	}
 }
 
+// checkCommand checks experiment files.
 func checkCommand() *cobra.Command {
-	return &cobra.Command{Use: "check FILE...", Short: "Tells what is wrong with experiment files, by file, line and field.",
-		Args: cobra.MinimumNArgs(1), RunE: func(cmd *cobra.Command, paths []string) error {
+	return &cobra.Command{
+		Use:   "check FILE...",
+		Short: "Reports errors in experiment files, by file, line and field.",
+		Args:  cobra.MinimumNArgs(1),
+		RunE: func(cmd *cobra.Command, paths []string) error {
 			bad := false
 			for _, path := range paths {
 				if _, err := experiment.Read(path); err != nil {
 					fmt.Fprintln(cmd.ErrOrStderr(), err)
 					bad = true
 				} else {
-					fmt.Fprintf(cmd.OutOrStdout(), "%s: good\n", path)
+					fmt.Fprintf(cmd.OutOrStdout(), "%s: valid\n", path)
 				}
 			}
 			if bad {
 				return exitStatus(exitBadInput)
 			}
 			return nil
-		}}
+		},
+	}
 }
 
+// runCommand runs experiments.
 func runCommand() *cobra.Command {
-	var out, proxy, rules, sweep string
+	var outDir, proxy, rules, sweep string
 	var seeds []uint
 	var repeat, drawn, drawnFrom int
 	var overrides []string
 	var quiet bool
-	c := &cobra.Command{Use: "run FILE...", Short: "Plays experiments.", Args: cobra.MinimumNArgs(1),
-		Long: `Plays each experiment, for each rule, each value of the sweep and each seed. Each run leaves a directory
+	command := &cobra.Command{
+		Use:   "run FILE...",
+		Short: "Runs experiments.",
+		Args:  cobra.MinimumNArgs(1),
+		Long: `Runs each experiment for each rule, each value of the sweep and each seed. Each run writes a directory
 with result.json, summary.txt, plots and report.html.`,
 		RunE: func(cmd *cobra.Command, paths []string) error {
 			stop := stopOnSignal()
 			key, values, sweeps := strings.Cut(sweep, "=")
 			if sweep != "" && !sweeps {
-				return fmt.Errorf("--sweep %q: key=a,b,c is wanted", sweep)
+				return fmt.Errorf("--sweep %q: want key=a,b,c", sweep)
 			}
 			variants := []string{""}
 			if sweeps {
 				variants = strings.Split(values, ",")
 			}
-			// All files are checked before anything is started.
+			// All files are checked before the first run starts.
 			type job struct {
-				path, rule, variant string
-				seed                uint64
-				x                   *experiment.File
-				drawn               uint64 // the seed of its timeline; 0: its file's own
+				path        string
+				rule        string
+				variant     string // value of the sweep; empty: none
+				seed        uint64
+				exp         *experiment.File
+				drawnFaults uint64 // seed of a drawn timeline; 0: the timeline of the file
 			}
 			var jobs []job
 			for _, path := range paths {
@@ -110,35 +137,35 @@
 					if sweeps {
 						overlay = append(overlay, key+"="+variant)
 					}
-					x, err := experiment.Read(path, overlay...)
+					exp, err := experiment.Read(path, overlay...)
 					if err != nil {
 						return err
 					}
-					first := []uint64{x.Seed}
+					runSeeds := []uint64{exp.Seed}
 					if len(seeds) > 0 {
-						first = first[:0]
+						runSeeds = runSeeds[:0]
 						for _, s := range seeds {
-							first = append(first, uint64(s))
+							runSeeds = append(runSeeds, uint64(s))
 						}
 					}
 					for _, rule := range strings.Split(rules, ",") {
 						if rule != "minttray" && !slices.Contains(baseline.Names, rule) {
 							return fmt.Errorf("--rules: %q is none of minttray, %s", rule, strings.Join(baseline.Names, ", "))
 						}
-						for _, s := range first {
+						for _, s := range runSeeds {
 							for n := range repeat {
-								copied := *x
+								copied := *exp
 								copied.Seed = s + uint64(n)
-								jobs = append(jobs, job{path, rule, variant, s + uint64(n), &copied, 0})
+								jobs = append(jobs, job{path: path, rule: rule, variant: variant, seed: s + uint64(n), exp: &copied})
 								for k := range drawn {
 									if k > 0 {
 										jobs = append(jobs, jobs[len(jobs)-1])
-										again := copied
-										jobs[len(jobs)-1].x = &again
+										redrawn := copied
+										jobs[len(jobs)-1].exp = &redrawn
 									}
 									last := &jobs[len(jobs)-1]
-									last.drawn = uint64(drawnFrom + k)
-									last.x.DrawFaults(last.drawn)
+									last.drawnFaults = uint64(drawnFrom + k)
+									last.exp.DrawFaults(last.drawnFaults)
 								}
 							}
 						}
@@ -146,38 +173,38 @@
 				}
 			}
 			worst := exitPassed
-			var all []*report.Result
+			var results []*report.Result
 			for _, j := range jobs {
-				name := fmt.Sprintf("%s-%s-%d", j.x.Name, j.rule, j.seed)
+				name := fmt.Sprintf("%s-%s-%d", j.exp.Name, j.rule, j.seed)
 				if j.variant != "" {
 					name += "-" + strings.NewReplacer("/", "_", " ", "").Replace(key+"="+j.variant)
-					j.x.Name += " " + key + "=" + j.variant
+					j.exp.Name += " " + key + "=" + j.variant
 				}
-				if j.drawn > 0 {
-					name += fmt.Sprintf("-drawn-%d", j.drawn)
-					j.x.Name += fmt.Sprintf(" drawn %d", j.drawn)
+				if j.drawnFaults > 0 {
+					name += fmt.Sprintf("-drawn-%d", j.drawnFaults)
+					j.exp.Name += fmt.Sprintf(" drawn %d", j.drawnFaults)
 				}
-				o := run.Options{Dir: filepath.Join(out, name), Command: []string{proxy}, Rule: j.rule, Stop: stop}
+				options := run.Options{Dir: filepath.Join(outDir, name), Command: []string{proxy}, Rule: j.rule, Stop: stop}
 				if j.rule != "minttray" {
-					o.Command = []string{filepath.Join(filepath.Dir(proxy), "mintbase")}
-					o.Env = []string{"MINTBASE_RULE=" + j.rule}
+					options.Command = []string{filepath.Join(filepath.Dir(proxy), "mintbase")}
+					options.Env = []string{"MINTBASE_RULE=" + j.rule}
 				}
 				if !quiet {
-					o.Logf = func(format string, args ...any) { fmt.Fprintf(cmd.ErrOrStderr(), format+"\n", args...) }
-					fmt.Fprintf(cmd.ErrOrStderr(), "%s: %s, %v\n", j.path, name, j.x.Length.Std())
+					options.Logf = func(format string, args ...any) { fmt.Fprintf(cmd.ErrOrStderr(), format+"\n", args...) }
+					fmt.Fprintf(cmd.ErrOrStderr(), "%s: %s, %v\n", j.path, name, j.exp.Length.Std())
 				}
-				os.RemoveAll(o.Dir)
-				r, err := run.Execute(j.x, o)
+				os.RemoveAll(options.Dir)
+				result, err := run.Execute(j.exp, options)
 				if err != nil {
 					fmt.Fprintf(cmd.ErrOrStderr(), "%s: %v\n", name, err)
 					return exitStatus(exitInvalid)
 				}
-				all = append(all, r)
-				fmt.Fprintf(cmd.OutOrStdout(), "%sreport: %s\n\n", r.Summary(), filepath.Join(o.Dir, "report.html"))
-				if j.drawn > 0 && r.ExitStatus() == exitViolation {
-					fmt.Fprintf(cmd.OutOrStdout(), "again: mintlab run %s --seeds %d --drawn 1 --drawn-from %d\n\n", j.path, j.seed, j.drawn)
+				results = append(results, result)
+				fmt.Fprintf(cmd.OutOrStdout(), "%sreport: %s\n\n", result.Summary(), filepath.Join(options.Dir, "report.html"))
+				if j.drawnFaults > 0 && result.ExitStatus() == exitViolation {
+					fmt.Fprintf(cmd.OutOrStdout(), "repeat with: mintlab run %s --seeds %d --drawn 1 --drawn-from %d\n\n", j.path, j.seed, j.drawnFaults)
 				}
-				if s := r.ExitStatus(); s == exitViolation || s > worst && worst != exitViolation {
+				if s := result.ExitStatus(); s == exitViolation || s > worst && worst != exitViolation {
 					worst = s
 				}
 				select {
@@ -186,103 +213,127 @@
 				default:
 				}
 			}
-			if len(all) > 1 {
-				fmt.Fprint(cmd.OutOrStdout(), report.Table(all))
+			if len(results) > 1 {
+				fmt.Fprint(cmd.OutOrStdout(), report.Table(results))
 			}
 			if worst != exitPassed {
 				return exitStatus(worst)
 			}
 			return nil
-		}}
-	c.Flags().StringVar(&out, "out", "runs", "directory for results, one for each run below it")
-	c.Flags().StringVar(&proxy, "proxy", "bin/minttray", "the proxy's program; mintbase is looked for beside it")
-	c.Flags().StringVar(&rules, "rules", "minttray", "what decides: minttray, or baselines: "+strings.Join(baseline.Names, ","))
-	c.Flags().UintSliceVar(&seeds, "seeds", nil, "seeds in place of the file's")
-	c.Flags().IntVar(&repeat, "repeat", 1, "runs for each seed, each with the next seed")
-	c.Flags().StringVar(&sweep, "sweep", "", "key=a,b,c: a run for each value, such as load.rate=500,1000")
-	c.Flags().StringArrayVar(&overrides, "set", nil, "key=value in place of what the file says; may be repeated")
-	c.Flags().IntVar(&drawn, "drawn", 0, "so many runs, each with a timeline drawn from a seed of its own in place of the file's")
-	c.Flags().IntVar(&drawnFrom, "drawn-from", 1, "the first of those seeds")
-	c.Flags().BoolVar(&quiet, "quiet", false, "no progress")
-	return c
+		},
+	}
+	command.Flags().StringVar(&outDir, "out", "runs", "directory of the results, with a subdirectory for each run")
+	command.Flags().StringVar(&proxy, "proxy", "bin/minttray", "program of the proxy; mintbase is expected in the same directory")
+	command.Flags().StringVar(&rules, "rules", "minttray", "decision rules: minttray, or baselines: "+strings.Join(baseline.Names, ","))
+	command.Flags().UintSliceVar(&seeds, "seeds", nil, "seeds that replace the file's")
+	command.Flags().IntVar(&repeat, "repeat", 1, "runs for each seed, with consecutive seeds")
+	command.Flags().StringVar(&sweep, "sweep", "", "key=a,b,c: one run for each value, such as load.rate=500,1000")
+	command.Flags().StringArrayVar(&overrides, "set", nil, "key=value that overrides a field of the file; may be repeated")
+	command.Flags().IntVar(&drawn, "drawn", 0, "number of runs with a timeline drawn from a seed of its own in place of the file's")
+	command.Flags().IntVar(&drawnFrom, "drawn-from", 1, "seed of the first drawn timeline")
+	command.Flags().BoolVar(&quiet, "quiet", false, "print no progress")
+	return command
 }
 
-// interrupted closes what it gives when the lab is told to stop.
+// stopOnSignal returns a channel that is closed at the first SIGINT or SIGTERM.
 func stopOnSignal() <-chan struct{} {
 	stop := make(chan struct{})
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGINT, syscall.SIGTERM)
-	go func() { <-signals; close(stop) }()
+	go func() {
+		<-signals
+		close(stop)
+	}()
 	return stop
 }
 
+// worldCommand runs the stand-ins of an experiment alone.
 func worldCommand() *cobra.Command {
 	var dir string
-	c := &cobra.Command{Use: "world FILE", Short: "Puts an experiment's caches, origin and discovery up, to try a proxy by hand.",
-		Args: cobra.ExactArgs(1), RunE: func(cmd *cobra.Command, paths []string) error {
-			x, err := experiment.Read(paths[0])
+	command := &cobra.Command{
+		Use:   "world FILE",
+		Short: "Runs an experiment's caches, origin and discovery without load, to try a proxy by hand.",
+		Args:  cobra.ExactArgs(1),
+		RunE: func(cmd *cobra.Command, paths []string) error {
+			exp, err := experiment.Read(paths[0])
 			if err != nil {
 				return err
 			}
-			return run.ServeStandIns(x, dir, func(format string, args ...any) { fmt.Fprintf(cmd.OutOrStdout(), format+"\n", args...) }, stopOnSignal())
-		}}
-	c.Flags().StringVar(&dir, "dir", "runs/world", "where the proxies' configurations are written")
-	return c
+			logf := func(format string, args ...any) { fmt.Fprintf(cmd.OutOrStdout(), format+"\n", args...) }
+			return run.ServeStandIns(exp, dir, logf, stopOnSignal())
+		},
+	}
+	command.Flags().StringVar(&dir, "dir", "runs/world", "directory of the proxies' configurations")
+	return command
 }
 
+// planCommand writes the input of minttray plan, or compares its output with a run.
 func planCommand() *cobra.Command {
-	seen, plans := "", ""
-	c := &cobra.Command{Use: "plan FILE", Short: "Writes an experiment's deployment as minttray plan reads it.", Args: cobra.ExactArgs(1),
-		Long: `Writes an experiment's deployment as minttray plan reads it. With --seen, the directory of a run of the same experiment, and
---plans, what minttray plan --json made of that file, both are set side by side.`,
+	var runDir, plansPath string
+	command := &cobra.Command{
+		Use:   "plan FILE",
+		Short: "Writes an experiment's deployment as input of minttray plan, or compares a plan with a run.",
+		Args:  cobra.ExactArgs(1),
+		Long: `Writes an experiment's deployment as input of minttray plan. With --seen, the directory of a run of the same experiment, and
+--plans, the output of minttray plan --json for that input, it compares the plan with the run.`,
 		RunE: func(cmd *cobra.Command, paths []string) error {
-			x, err := experiment.Read(paths[0])
-			if err == nil && seen == "" {
-				fmt.Fprint(cmd.OutOrStdout(), run.PlanInput(x))
+			exp, err := experiment.Read(paths[0])
+			if err == nil && runDir == "" {
+				fmt.Fprint(cmd.OutOrStdout(), run.PlanInput(exp))
 			}
-			if err != nil || seen == "" {
+			if err != nil || runDir == "" {
 				return err
 			}
-			r, err := report.Read(seen)
+			result, err := report.Read(runDir)
 			if err != nil {
 				return err
 			}
-			in, err := os.Open(plans)
+			in, err := os.Open(plansPath)
 			if err != nil {
 				return err
 			}
 			defer in.Close()
-			return run.ComparePlan(cmd.OutOrStdout(), x, in, r)
-		}}
-	c.Flags().StringVar(&seen, "seen", "", "a run's directory")
-	c.Flags().StringVar(&plans, "plans", "", "the plans' file")
-	return c
+			return run.ComparePlan(cmd.OutOrStdout(), exp, in, result)
+		},
+	}
+	command.Flags().StringVar(&runDir, "seen", "", "directory of a run")
+	command.Flags().StringVar(&plansPath, "plans", "", "output of minttray plan --json")
+	return command
 }
 
+// reportCommand prints the results of runs.
 func reportCommand() *cobra.Command {
-	return &cobra.Command{Use: "report DIR...", Short: "Prints the summaries of runs, and a table of them.", Args: cobra.MinimumNArgs(1),
+	return &cobra.Command{
+		Use:   "report DIR...",
+		Short: "Prints the summaries of runs and a table of them.",
+		Args:  cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, dirs []string) error {
-			all, err := readResults(dirs)
+			results, err := readResults(dirs)
 			if err != nil {
 				return err
 			}
-			for _, r := range all {
+			for _, r := range results {
 				fmt.Fprintln(cmd.OutOrStdout(), r.Summary())
 			}
-			fmt.Fprint(cmd.OutOrStdout(), report.Table(all))
+			fmt.Fprint(cmd.OutOrStdout(), report.Table(results))
 			return nil
-		}}
+		},
+	}
 }
 
+// compareCommand compares two sets of runs.
 func compareCommand() *cobra.Command {
-	return &cobra.Command{Use: "compare A B", Short: "Sets two sets of runs side by side, in pairs of the same experiment and seed.",
-		Long: "A and B are runs' directories, or directories of such, or patterns in quotes ('runs/*-minttray-*').",
-		Args: cobra.ExactArgs(2), RunE: func(cmd *cobra.Command, sides []string) error {
+	return &cobra.Command{
+		Use:   "compare A B",
+		Short: "Compares two sets of runs, in pairs of the same experiment and seed.",
+		Long:  "A and B are directories of runs, directories that hold such, or quoted patterns ('runs/*-minttray-*').",
+		Args:  cobra.ExactArgs(2),
+		RunE: func(cmd *cobra.Command, sides []string) error {
 			var both [2][]*report.Result
 			for i, side := range sides {
 				dirs, err := filepath.Glob(side)
 				if err != nil || len(dirs) == 0 {
-					return fmt.Errorf("%s: nothing there", side)
+					return fmt.Errorf("%s: no such directory", side)
 				}
 				if _, err := os.Stat(filepath.Join(dirs[0], "result.json")); len(dirs) == 1 && err != nil {
 					dirs, _ = filepath.Glob(filepath.Join(dirs[0], "*"))
@@ -293,54 +344,66 @@
 			}
 			fmt.Fprint(cmd.OutOrStdout(), report.Compare(both[0], both[1]))
 			return nil
-		}}
+		},
+	}
 }
 
+// judgeCommand judges the ledger of a run again.
 func judgeCommand() *cobra.Command {
-	return &cobra.Command{Use: "judge FILE LEDGER", Short: "Judges a ledger anew, also one of a run that was cut short.", Args: cobra.ExactArgs(2),
+	return &cobra.Command{
+		Use:   "judge FILE LEDGER",
+		Short: "Judges a ledger again, complete or of an interrupted run.",
+		Args:  cobra.ExactArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			x, err := experiment.Read(args[0])
+			exp, err := experiment.Read(args[0])
 			if err != nil {
 				return err
 			}
-			from := time.Now()
-			v, err := run.Judge(args[1], x, nil)
+			started := time.Now()
+			verdict, err := run.Judge(args[1], exp, nil)
 			if err != nil {
 				return err
 			}
-			r := report.Result{Name: x.Name, Seed: x.Seed, Rule: "ledger", Verdict: v}
-			fmt.Fprintf(cmd.OutOrStdout(), "%sjudged in %v; %d ops held at once; whole: %v\n", r.Summary(), time.Since(from).Round(time.Millisecond), v.MaxOpenOps, v.Complete)
-			if !v.Passed() {
+			result := report.Result{Name: exp.Name, Seed: exp.Seed, Rule: "ledger", Verdict: verdict}
+			fmt.Fprintf(cmd.OutOrStdout(), "%sjudged in %v; at most %d ops open at once; complete: %v\n", result.Summary(), time.Since(started).Round(time.Millisecond), verdict.MaxOpenOps, verdict.Complete)
+			if !verdict.Passed() {
 				return exitStatus(exitViolation)
 			}
 			return nil
-		}}
+		},
+	}
 }
 
-func readResults(dirs []string) (all []*report.Result, err error) {
+// readResults reads the results of run directories.
+func readResults(dirs []string) (results []*report.Result, err error) {
 	for _, d := range dirs {
 		r, err := report.Read(d)
 		if err != nil {
 			return nil, err
 		}
-		all = append(all, r)
+		results = append(results, r)
 	}
-	return all, nil
+	return results, nil
 }
 
+// logsCommand sums the logs of a fleet.
 func logsCommand() *cobra.Command {
 	span, match := time.Second, ""
-	c := &cobra.Command{Use: "logs DIR", Short: "Sums the counters and log lines of a fleet's proxies, by span of time.", Args: cobra.ExactArgs(1),
-		Long: `Reads all DIR/*.log, one proxy's each, as written with MINTTRAY_COUNTERS=1s, with or without a time in seconds
-ahead of each line, and prints what the fleet counted in each span. Lines that can't be read are counted by reason.`,
+	command := &cobra.Command{
+		Use:   "logs DIR",
+		Short: "Sums the counters and log lines of a fleet's proxies by time interval.",
+		Args:  cobra.ExactArgs(1),
+		Long: `Reads all DIR/*.log, one for each proxy, as written with MINTTRAY_COUNTERS=1s, with or without a time in seconds
+before each line, and prints the sums of each interval. Lines that cannot be parsed are counted by reason.`,
 		RunE: func(cmd *cobra.Command, args []string) error {
 			sum, err := logsum.ReadDir(args[0], span)
 			if err != nil {
 				return err
 			}
 			return sum.Write(cmd.OutOrStdout(), match)
-		}}
-	c.Flags().DurationVar(&span, "span", span, "of one column")
-	c.Flags().StringVar(&match, "match", "", "only rows whose name holds this text")
-	return c
+		},
+	}
+	command.Flags().DurationVar(&span, "span", span, "time interval of a column")
+	command.Flags().StringVar(&match, "match", "", "print only rows whose name contains this text")
+	return command
 }
--- a/cmd/mintlab/soak.go
+++ b/cmd/mintlab/soak.go
@@ -9,45 +9,51 @@
 	"minttray/lab/run"
 )
 
+// soakCommand runs drawn experiments.
 func soakCommand() *cobra.Command {
-	var out, proxy string
-	var seeds, lanes int
+	var outDir, proxy string
+	var seeds, parallel int
 	var from uint64
 	var length time.Duration
-	c := &cobra.Command{Use: "soak", Short: "Plays drawn deployments, timelines and faults, one for each seed, and judges each.", Args: cobra.NoArgs,
-		Long: `Plays drawn runs: each seed draws a deployment (proxies, caches up to 3,200, deadlines from 60 ms to 3 s, effects, limits) and what goes
-wrong in it (releases, restarts, signals in series, crowds, resets, list outages, stalls). Prints a row for each seed, and how to play a failed one again.`,
+	command := &cobra.Command{
+		Use:   "soak",
+		Short: "Runs drawn deployments and faults, one experiment for each seed, and judges them.",
+		Args:  cobra.NoArgs,
+		Long: `Runs drawn experiments. Each seed draws a deployment (proxies, up to 3,200 caches, deadlines from 60 ms to 3 s, effects, limits) and its
+faults (releases, restarts, series of signals, idle connections, resets, discovery outages, stalls). Prints a table row for each seed, and the
+command that repeats a failed one.`,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			var all []uint64
+			var seedList []uint64
 			for n := range uint64(seeds) {
-				all = append(all, from+n)
+				seedList = append(seedList, from+n)
 			}
-			failed, void := 0, 0
+			failed, invalid := 0, 0
 			fmt.Fprintln(cmd.OutOrStdout(), run.SoakTableHeader)
-			run.Soak(all, length, lanes, run.Options{Dir: out, Command: []string{proxy}, Rule: "minttray", Stop: stopOnSignal()}, func(r run.SoakResult) {
-				fmt.Fprintln(cmd.OutOrStdout(), r)
-				if r.Failed() {
+			run.Soak(seedList, length, parallel, run.Options{Dir: outDir, Command: []string{proxy}, Rule: "minttray", Stop: stopOnSignal()}, func(result run.SoakResult) {
+				fmt.Fprintln(cmd.OutOrStdout(), result)
+				if result.Failed() {
 					failed++
-					if r.Err == nil {
-						fmt.Fprintf(cmd.ErrOrStderr(), "%s", r.Result.Summary())
+					if result.Err == nil {
+						fmt.Fprintf(cmd.ErrOrStderr(), "%s", result.Result.Summary())
 					}
-					fmt.Fprintf(cmd.ErrOrStderr(), "again: mintlab soak --seeds 1 --from %d --length %v\n", r.Seed, length)
+					fmt.Fprintf(cmd.ErrOrStderr(), "repeat with: mintlab soak --seeds 1 --from %d --length %v\n", result.Seed, length)
 				}
-				if r.Invalid() {
-					void++
+				if result.Invalid() {
+					invalid++
 				}
 			})
-			fmt.Fprintf(cmd.OutOrStdout(), "\n%d seeds: %d failed, %d void\n", seeds, failed, void)
+			fmt.Fprintf(cmd.OutOrStdout(), "\n%d seeds: %d failed, %d invalid\n", seeds, failed, invalid)
 			if failed > 0 {
 				return exitStatus(exitViolation)
 			}
 			return nil
-		}}
-	c.Flags().StringVar(&out, "out", "runs/soak", "directory for results, one for each seed below it")
-	c.Flags().StringVar(&proxy, "proxy", "bin/minttray", "the proxy's program")
-	c.Flags().IntVar(&seeds, "seeds", 50, "so many runs")
-	c.Flags().Uint64Var(&from, "from", 1, "the first seed")
-	c.Flags().IntVar(&lanes, "lanes", 2, "runs beside each other")
-	c.Flags().DurationVar(&length, "length", 14*time.Second, "of each run")
-	return c
+		},
+	}
+	command.Flags().StringVar(&outDir, "out", "runs/soak", "directory of the results, with a subdirectory for each seed")
+	command.Flags().StringVar(&proxy, "proxy", "bin/minttray", "program of the proxy")
+	command.Flags().IntVar(&seeds, "seeds", 50, "number of runs")
+	command.Flags().Uint64Var(&from, "from", 1, "first seed")
+	command.Flags().IntVar(&parallel, "lanes", 2, "runs in parallel")
+	command.Flags().DurationVar(&length, "length", 14*time.Second, "length of each run")
+	return command
 }
--- a/cmd/mintlab/worth.go
+++ b/cmd/mintlab/worth.go
@@ -10,26 +10,31 @@
 	"minttray/lab/worth"
 )
 
+// worthCommand scores the module without each of its mechanisms.
 func worthCommand() *cobra.Command {
-	bench := ""
-	c := &cobra.Command{Use: "worth FILE SITE...", Short: "Scores the module with each mechanism taken out in turn, on a simulator",
-		Long: `worth patches the module as FILE says (lab/worth/plan.toml), has the simulator build and score it on each
-site, prints a row for each mechanism, and puts the source back. Run it from the root, with the source committed.`,
+	var bench string
+	command := &cobra.Command{
+		Use:   "worth FILE SITE...",
+		Short: "Scores the module without each of its mechanisms in turn, on a simulator.",
+		Long: `worth applies the patches of FILE (lab/worth/plan.toml) to the module in turn, has the simulator build and score it on
+each site, prints a row for each mechanism, and restores the source. Run it from the root, with the source committed.`,
 		Args: cobra.MinimumNArgs(2),
 		RunE: func(_ *cobra.Command, args []string) error {
 			plan, err := worth.ReadPlan(args[0])
 			if err != nil {
 				return err
 			}
-			signals, stop := make(chan os.Signal, 1), make(chan struct{})
+			signals := make(chan os.Signal, 1)
+			stop := make(chan struct{})
 			signal.Notify(signals, os.Interrupt, syscall.SIGTERM)
 			go func() {
 				<-signals
 				close(stop)
 			}()
 			return plan.Run(os.Stdout, bench, args[1:], stop)
-		}}
-	c.Flags().StringVar(&bench, "bench", "", "the simulator's program")
-	c.MarkFlagRequired("bench")
-	return c
+		},
+	}
+	command.Flags().StringVar(&bench, "bench", "", "program of the simulator")
+	command.MarkFlagRequired("bench")
+	return command
 }
--- a/lab/run/fleet.go
+++ b/lab/run/fleet.go
@@ -24,50 +24,65 @@
 )
 
 const (
-	startTimeout = 10 * time.Second
-	stopTimeout  = 8 * time.Second // after SIGTERM, for one that another process replaces
-	logTailLines = 8               // of its log, for a proxy that ended by itself
+	startTimeout    = 10 * time.Second       // for a process to serve, or to load new settings
+	stopTimeout     = 8 * time.Second        // from SIGTERM to the end of a process that an upgrade replaces
+	lameduckTimeout = 2 * time.Second        // for PING to show a change of lameduck mode
+	callTimeout     = time.Second            // for a call of the control port, and for PING
+	pingInterval    = 100 * time.Millisecond // between two health checks of the balancer
+	startPoll       = 10 * time.Millisecond  // between two checks whether a process serves
+	changePoll      = 20 * time.Millisecond  // between two checks whether a process has changed its mode or settings
+	throttlePeriod  = 100 * time.Millisecond // of stopping and continuing a throttled process, as a CPU quota of the kernel does
+	signalInterval  = 150 * time.Millisecond // between the signals of a series
+	idleConnsPoll   = 100 * time.Millisecond // between two rounds of opening idle connections; also their connect time-out
+	logTailLines    = 8                      // of the log of a crashed process, for error messages
 )
 
-// fleet is the proxies' processes.
+// fleet runs the proxies' processes. It implements faults.Fleet.
 type fleet struct {
 	experiment *experiment.File
 	world      *world.World
-	dir        string
-	command    []string
-	env        []string
+	dir        string   // of configurations, logs and temporary files
+	command    []string // of a proxy
+	env        []string // added to the environment
 	proxies    []*load.Proxy
 
-	done      chan struct{} // closed at the end
+	done      chan struct{} // closed by stopAll
 	closeDone sync.Once
 
 	mu              sync.Mutex
 	agents          []*world.Agent
-	processes       []*process
-	lastIncarnation uint32
-	siteDetachedAt  map[int]uint32 // by proxy: the life that was told that a site is out; of the one fault that does
-	crashes         []string       // proxies that ended by themselves
-	usage           []measure.Usage
+	processes       []*process     // the last one of each proxy
+	lastIncarnation uint32         // last number given; incarnations count from 1
+	siteDetachedAt  map[int]uint32 // by proxy: the incarnation that was told that a site is detached
+	crashes         []string       // descriptions of processes that ended by themselves
 }
 
+// process is one process of a proxy.
 type process struct {
 	cmd          *exec.Cmd
-	incarnation  uint32
-	exited       chan struct{}
-	stoppedByLab bool // the lab ended it
-	terminated   bool // by SIGTERM, and then it had its time
+	incarnation  uint32        // shared by the old and the new process of an upgrade
+	exited       chan struct{} // closed at its end
+	stoppedByLab bool          // the laboratory sent it SIGTERM or SIGKILL
+	terminated   bool          // it was sent SIGTERM and given time to end
 	logPath      string
-
-	controlAddr string // where operators call
-	replaced    bool   // by an upgrade
+	controlAddr  string // of its control port; empty: none
+	replaced     bool   // by the new process of an upgrade
 }
 
-// newFleet starts all proxies and waits until they serve.
+// newFleet starts all proxies and waits until they serve. After an error the fleet must still be stopped.
 func newFleet(exp *experiment.File, w *world.World, dir string, command, env []string) (*fleet, error) {
-	f := &fleet{experiment: exp, world: w, dir: dir, command: command, env: env, processes: make([]*process, exp.Proxies.Count), siteDetachedAt: map[int]uint32{},
-		usage: make([]measure.Usage, exp.Proxies.Count), done: make(chan struct{})}
+	f := &fleet{
+		experiment:     exp,
+		world:          w,
+		dir:            dir,
+		command:        command,
+		env:            env,
+		processes:      make([]*process, exp.Proxies.Count),
+		siteDetachedAt: map[int]uint32{},
+		done:           make(chan struct{}),
+	}
 	for n := range exp.Proxies.Count {
-		a, err := w.Registry.NewAgent(n)
+		agent, err := w.Registry.NewAgent(n)
 		if err != nil {
 			return f, err
 		}
@@ -75,7 +90,7 @@
 		if err != nil {
 			return f, err
 		}
-		f.agents = append(f.agents, a)
+		f.agents = append(f.agents, agent)
 		f.proxies = append(f.proxies, &load.Proxy{Addr: addr, Zone: exp.ZoneOfProxy(n), Endpoint: w.ProxyEndpoint(n)})
 	}
 	errs := make([]error, exp.Proxies.Count)
@@ -94,15 +109,17 @@
 	return f, errors.Join(errs...)
 }
 
-// Count and the rest are what faults need.
-func (f *fleet) Count() int               { return f.experiment.Proxies.Count }
+// Count returns the number of proxies.
+func (f *fleet) Count() int { return f.experiment.Proxies.Count }
+
+// Agent returns the discovery agent of a proxy.
 func (f *fleet) Agent(n int) *world.Agent { return f.agents[n] }
 
-// temp is the directory that a proxy's processes share, empty at each start but not at an upgrade.
+// tempDir returns the temporary directory of a proxy's processes. It is emptied at a start, but not at an upgrade.
 func (f *fleet) tempDir(n int) string { return filepath.Join(f.dir, fmt.Sprintf("tmp-%d", n)) }
 
-// Start starts a proxy's process and waits until it answers PING. One that runs is left alone: of two faults that bring it back
-// the second has nothing to do.
+// Start starts a proxy's process and waits until it answers PING. It does nothing for a running process, which another fault may have
+// started already.
 func (f *fleet) Start(n int) error {
 	f.mu.Lock()
 	previous := f.processes[n]
@@ -121,16 +138,16 @@
 	if err != nil {
 		return err
 	}
-	for deadline := time.Now().Add(startTimeout); time.Now().Before(deadline); time.Sleep(10 * time.Millisecond) {
+	for deadline := time.Now().Add(startTimeout); time.Now().Before(deadline); time.Sleep(startPoll) {
 		select {
 		case <-p.exited:
 			f.mu.Lock()
 			stoppedByLab := p.stoppedByLab
 			f.mu.Unlock()
-			if stoppedByLab { // by another fault, before it served
+			if stoppedByLab { // by another fault
 				return nil
 			}
-			return fmt.Errorf("proxy %d ended before it served: %s", n, logTail(p.logPath))
+			return fmt.Errorf("proxy %d exited before it served: %s", n, logTail(p.logPath))
 		default:
 		}
 		if pingOK(f.proxies[n].Addr) {
@@ -141,25 +158,25 @@
 	return fmt.Errorf("proxy %d does not serve after %v: %s", n, startTimeout, logTail(p.logPath))
 }
 
-// Upgrade starts a new process beside the old one, at the same address, and ends the old one once the new one says that it
-// takes clients. Both are one life: what either loses is lost.
+// Upgrade starts a new process beside the old one, at the same address, and ends the old one once the new one reports that it is ready.
+// Both have the same incarnation, so that the judge excuses no op that either of them loses.
 func (f *fleet) Upgrade(n int) error {
 	f.mu.Lock()
 	old := f.processes[n]
 	f.mu.Unlock()
 	if old == nil {
-		return fmt.Errorf("proxy %d does not run", n)
+		return fmt.Errorf("proxy %d cannot be upgraded: it has not been started", n)
 	}
 	p, err := f.launch(n, old.incarnation)
 	if err != nil {
 		return err
 	}
-	for deadline := time.Now().Add(startTimeout); ; time.Sleep(10 * time.Millisecond) {
+	for deadline := time.Now().Add(startTimeout); ; time.Sleep(startPoll) {
 		if err = f.callControl(p, http.MethodGet, "/_ready", ""); err == nil {
 			break
 		}
 		if time.Now().After(deadline) {
-			return fmt.Errorf("proxy %d, upgraded: %w: %s", n, err, logTail(p.logPath))
+			return fmt.Errorf("proxy %d is not ready after its upgrade: %w: %s", n, err, logTail(p.logPath))
 		}
 	}
 	f.proxies[n].MarkUp()
@@ -171,19 +188,22 @@
 	case <-old.exited:
 	case <-time.After(stopTimeout):
 		old.cmd.Process.Kill()
-		return fmt.Errorf("proxy %d, replaced, did not end within %v of SIGTERM", n, stopTimeout)
+		return fmt.Errorf("proxy %d: the replaced process did not end within %v of SIGTERM", n, stopTimeout)
 	}
 	return nil
 }
 
-// Hand has an operator take a cache out, or call it back. From the yes on nothing new may go there.
+// SetCacheDetached detaches a cache from a proxy by a call of its control port, or attaches it again. From the successful answer on the
+// proxy may send the cache no new push.
 func (f *fleet) SetCacheDetached(n int, cache string, number uint32, detach bool) error {
 	f.mu.Lock()
 	p := f.processes[n]
 	f.mu.Unlock()
-	path, record := "/_cache-nodes/attach", ledger.Record{Kind: ledger.OperatorOverride, At: f.world.Now(), A: p.incarnation, B: number}
+	path := "/_cache-nodes/attach"
+	record := ledger.Record{Kind: ledger.OperatorOverride, At: f.world.Now(), A: p.incarnation, B: number}
 	if detach {
-		path, record.C = "/_cache-nodes/detach", 1
+		path = "/_cache-nodes/detach"
+		record.C = 1
 	}
 	if err := f.callControl(p, http.MethodPost, path, cache); err != nil {
 		return fmt.Errorf("proxy %d, %s %s: %w", n, path, cache, err)
@@ -195,13 +215,13 @@
 	return nil
 }
 
-// HandSite has an operator take a whole site out at a proxy, or call it back, over a span.
+// SetSiteDetached detaches a whole site from a proxy over a duration by a call of its control port, or attaches it again.
 func (f *fleet) SetSiteDetached(n int, site string, caches []uint32, detach bool, spread time.Duration) error {
 	f.mu.Lock()
 	p := f.processes[n]
 	f.mu.Unlock()
 	select {
-	case <-p.exited: // its site is lost: nobody can call it
+	case <-p.exited: // it was ended by another fault and cannot be called
 		return nil
 	default:
 	}
@@ -214,7 +234,7 @@
 		body += " " + spread.String()
 	}
 	at := f.world.Now()
-	if !detach && p.incarnation != f.siteDetachedAt[n] { // a new process on an empty disk: nobody has taken the site out there
+	if !detach && p.incarnation != f.siteDetachedAt[n] { // a new process without stored state, in which the site was never detached
 		return nil
 	}
 	f.siteDetachedAt[n] = p.incarnation
@@ -230,7 +250,8 @@
 		record()
 		return nil
 	}
-	// All of them are out once the span is over. Danger: booked ahead, the judge would close ops that are still open.
+	// All caches of the site are detached only after the duration. Recording them earlier would make the judge close ops that are still
+	// open.
 	time.AfterFunc(spread, func() {
 		at = f.world.Now()
 		record()
@@ -238,7 +259,8 @@
 	return nil
 }
 
-// Retune writes a proxy's settings anew, with other quotas, and has it read them; it has to say that it took them.
+// ReloadQuotas rewrites a proxy's settings with the tenants' quotas multiplied by a factor, and has it reload them by SIGHUP. It returns
+// an error unless the proxy's counter of reloads confirms it.
 func (f *fleet) ReloadQuotas(n int, factor float64) error {
 	f.mu.Lock()
 	p := f.processes[n]
@@ -253,15 +275,15 @@
 		return err
 	}
 	f.sendSignal(n, syscall.SIGHUP)
-	for deadline := time.Now().Add(startTimeout); readCounters(p)["svc_reloads_ok"] == before; time.Sleep(20 * time.Millisecond) {
+	for deadline := time.Now().Add(startTimeout); readCounters(p)["svc_reloads_ok"] == before; time.Sleep(changePoll) {
 		if time.Now().After(deadline) {
-			return fmt.Errorf("proxy %d has not taken new settings: %s", n, logTail(p.logPath))
+			return fmt.Errorf("proxy %d has not reloaded its settings within %v: %s", n, startTimeout, logTail(p.logPath))
 		}
 	}
 	return nil
 }
 
-// Stall stops a proxy's process as it is, or lets it go on.
+// SetStopped stops a proxy's process by SIGSTOP, or lets it continue, and records it: ops of a stopped process are excused.
 func (f *fleet) SetStopped(n int, stopped bool) {
 	sig, state := syscall.SIGCONT, uint32(0)
 	if stopped {
@@ -277,10 +299,7 @@
 	}
 }
 
-// throttlePeriod is how often a throttled process is stopped and let go on, as a machine's quota of processor time does.
-const throttlePeriod = 100 * time.Millisecond
-
-// Throttle has a proxy's process run for a share of the time. Unlike a stall it is not booked, and excuses nothing.
+// Throttle lets a proxy's process run for a share of the time. Unlike SetStopped it is not recorded, and excuses no broken rule.
 func (f *fleet) Throttle(n int, share float64, duration time.Duration) {
 	runTime := time.Duration(share * float64(throttlePeriod))
 	for end := time.Now().Add(duration); time.Now().Before(end); {
@@ -291,7 +310,8 @@
 	}
 }
 
-// Away has an operator send clients away from a proxy, or take them again; PING has to say so within two seconds.
+// SetLameduck sets a proxy to lameduck mode by a call of its control port, or ends the mode. The answer to PING must show the change
+// within lameduckTimeout.
 func (f *fleet) SetLameduck(n int, lameduck bool) error {
 	f.mu.Lock()
 	p := f.processes[n]
@@ -303,29 +323,29 @@
 	if err := f.callControl(p, http.MethodPost, path, ""); err != nil {
 		return fmt.Errorf("proxy %d, %s: %w", n, path, err)
 	}
-	for deadline := time.Now().Add(2 * time.Second); pingOK(f.proxies[n].Addr) == lameduck; time.Sleep(20 * time.Millisecond) {
+	for deadline := time.Now().Add(lameduckTimeout); pingOK(f.proxies[n].Addr) == lameduck; time.Sleep(changePoll) {
 		if time.Now().After(deadline) {
-			return fmt.Errorf("proxy %d, %s: PING does not say so", n, path)
+			return fmt.Errorf("proxy %d, %s: PING does not show the change within %v", n, path, lameduckTimeout)
 		}
 	}
 	return nil
 }
 
-// Idle counts clients' connections to a proxy with nothing out.
+// IdleConns returns the number of client connections to a proxy without an open request.
 func (f *fleet) IdleConns(n int) int { return f.proxies[n].IdleConns() }
 
-// ask is the front's question, ten times a second, where operators send clients away.
+// pollPings runs the balancer's health checks: it sends PING to each proxy that has been started.
 func (f *fleet) pollPings() {
-	for n, p := range f.proxies {
+	for n, proxy := range f.proxies {
 		go func() {
-			for ticker := time.NewTicker(100 * time.Millisecond); ; {
+			for ticker := time.NewTicker(pingInterval); ; {
 				select {
 				case <-ticker.C:
 					f.mu.Lock()
 					started := f.processes[n] != nil
 					f.mu.Unlock()
 					if started {
-						p.RecordPing(pingOK(p.Addr))
+						proxy.RecordPing(pingOK(proxy.Addr))
 					}
 				case <-f.done:
 					ticker.Stop()
@@ -336,9 +356,9 @@
 	}
 }
 
-// call makes an operator's call; an error is any answer but a yes within a second.
+// callControl calls the control port of a process. Any answer but one of status 2xx within callTimeout is an error.
 func (f *fleet) callControl(p *process, method, path, body string) error {
-	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
+	client := http.Client{Timeout: callTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	req, err := http.NewRequest(method, "http://"+p.controlAddr+path, strings.NewReader(body))
 	if err != nil {
 		return err
@@ -354,7 +374,7 @@
 	return nil
 }
 
-// vars sums the figures of the processes that run, by name without their class; nil where operators have no address to call.
+// counters sums the metrics of all processes by name, without the class label; nil where the experiment needs no control ports.
 func (f *fleet) counters() map[string]int64 {
 	if !f.experiment.NeedsControl() {
 		return nil
@@ -371,10 +391,10 @@
 	return sums
 }
 
-// figures are a process's, by name without their class.
+// readCounters returns the metrics of a process by name, summed over the class label. If it does not answer, "unanswered" is 1.
 func readCounters(p *process) map[string]int64 {
 	sums := map[string]int64{}
-	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
+	client := http.Client{Timeout: callTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	resp, err := client.Get("http://" + p.controlAddr + "/_vars")
 	if err != nil {
 		sums["unanswered"]++
@@ -391,7 +411,7 @@
 	return sums
 }
 
-// start starts a process; life 0: of a life of its own.
+// launch starts a process of a proxy. Incarnation 0 stands for a new one.
 func (f *fleet) launch(n int, incarnation uint32) (*process, error) {
 	control := ""
 	if f.experiment.NeedsControl() {
@@ -409,7 +429,12 @@
 		f.lastIncarnation++
 		incarnation = f.lastIncarnation
 	}
-	p := &process{incarnation: incarnation, controlAddr: control, exited: make(chan struct{}), logPath: filepath.Join(f.dir, fmt.Sprintf("proxy-%d.log", n))}
+	p := &process{
+		incarnation: incarnation,
+		controlAddr: control,
+		exited:      make(chan struct{}),
+		logPath:     filepath.Join(f.dir, fmt.Sprintf("proxy-%d.log", n)),
+	}
 	f.mu.Unlock()
 	logFile, err := os.OpenFile(p.logPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
@@ -425,9 +450,10 @@
 		}
 		p.cmd.Env = append(p.cmd.Env, "MINTTRAY_OPERATORS="+operatorsPath)
 	}
-	p.cmd.Stderr, p.cmd.Stdout = logFile, logFile
-	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // it must not outlive the lab
-	// A connection made from now on can only be to this life: it may accept before the lab has noticed.
+	p.cmd.Stderr = logFile
+	p.cmd.Stdout = logFile
+	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // it must not outlive the laboratory
+	// Set the incarnation first: the process may accept connections before Start returns.
 	f.agents[n].SetIncarnation(p.incarnation)
 	f.proxies[n].Incarnation.Store(p.incarnation)
 	if err := p.cmd.Start(); err != nil {
@@ -440,19 +466,20 @@
 	return p, nil
 }
 
+// pingOK reports whether a proxy answers PING with PONG, as it does while it accepts clients.
 func pingOK(addr string) bool {
-	c, err := net.DialTimeout("tcp", addr, time.Second)
+	c, err := net.DialTimeout("tcp", addr, callTimeout)
 	if err != nil {
 		return false
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(time.Second))
+	c.SetDeadline(time.Now().Add(callTimeout))
 	fmt.Fprint(c, "*1\r\n$4\r\nPING\r\n")
 	line, _ := bufio.NewReader(c).ReadString('\n')
 	return strings.HasPrefix(line, "+PONG")
 }
 
-// watch books the process's end.
+// awaitExit waits for the end of a process and records it.
 func (f *fleet) awaitExit(n int, p *process) {
 	err := p.cmd.Wait()
 	f.mu.Lock()
@@ -462,7 +489,7 @@
 	}
 	replaced := p.replaced
 	f.mu.Unlock()
-	if replaced { // its life goes on in another process
+	if replaced { // its incarnation continues in the new process
 		close(p.exited)
 		return
 	}
@@ -478,7 +505,7 @@
 	close(p.exited)
 }
 
-// tail is the end of a log.
+// logTail returns the last lines of a log, for error messages.
 func logTail(path string) string {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -488,6 +515,7 @@
 	return "\n  " + strings.Join(lines[max(len(lines)-logTailLines, 0):], "\n  ")
 }
 
+// sendSignal sends a signal to the process of a proxy. It returns nil when the process does not run.
 func (f *fleet) sendSignal(n int, sig syscall.Signal) *process {
 	f.mu.Lock()
 	p := f.processes[n]
@@ -512,21 +540,21 @@
 	return p
 }
 
-// Kill ends a proxy at once.
+// Kill ends a proxy with SIGKILL.
 func (f *fleet) Kill(n int) {
 	if p := f.sendSignal(n, syscall.SIGKILL); p != nil {
 		<-p.exited
 	}
 }
 
-// Term asks a proxy to end, and kills it as early as its platform may: what it then holds is lost.
+// Terminate ends a proxy with SIGTERM, and kills it as early as the platform may; ops that it still holds then are lost.
 func (f *fleet) Terminate(n int) {
 	if p := f.sendSignal(n, syscall.SIGTERM); p != nil {
 		f.awaitTermination(n, p)
 	}
 }
 
-// awaitEnd waits for a process that was sent SIGTERM just now, and kills it at the earliest moment at which its platform may.
+// awaitTermination waits for the end of a process that has just been sent SIGTERM, and kills it as early as the platform may.
 func (f *fleet) awaitTermination(n int, p *process) {
 	f.mu.Lock()
 	p.terminated = true
@@ -538,9 +566,7 @@
 	}
 }
 
-const signalInterval = 150 * time.Millisecond // of a series
-
-// Signals sends a proxy a series of signals, which ends it.
+// SendSignals sends a proxy a series of signals, which ends it.
 func (f *fleet) SendSignals(n int, series string) {
 	switch series {
 	case "hups":
@@ -570,9 +596,8 @@
 	f.awaitTermination(n, p)
 }
 
-// Crowd holds idle connections to a proxy for a span, and opens others in the place of those that it ends.
+// HoldIdleConns holds a number of idle connections to a proxy for a duration, and replaces those that the proxy closes.
 func (f *fleet) HoldIdleConns(n, size int, duration time.Duration) {
-	const interval = 100 * time.Millisecond
 	var mu sync.Mutex
 	open := map[net.Conn]bool{}
 	defer func() {
@@ -582,7 +607,7 @@
 			c.Close()
 		}
 	}()
-	for deadline := time.Now().Add(duration); time.Now().Before(deadline); time.Sleep(interval) {
+	for deadline := time.Now().Add(duration); time.Now().Before(deadline); time.Sleep(idleConnsPoll) {
 		for range size {
 			mu.Lock()
 			full := len(open) >= size
@@ -590,7 +615,7 @@
 			if full {
 				break
 			}
-			c, err := net.DialTimeout("tcp", f.proxies[n].Addr, interval)
+			c, err := net.DialTimeout("tcp", f.proxies[n].Addr, idleConnsPoll)
 			if err != nil {
 				break
 			}
@@ -598,7 +623,7 @@
 			open[c] = true
 			mu.Unlock()
 			go func() {
-				c.Read(make([]byte, 1)) // it says nothing, and hears of its end alone
+				c.Read(make([]byte, 1)) // returns when the proxy closes the connection
 				c.Close()
 				mu.Lock()
 				delete(open, c)
@@ -608,7 +633,7 @@
 	}
 }
 
-// stop ends all that still runs, by its id.
+// stopAll ends all processes that still run.
 func (f *fleet) stopAll() {
 	f.closeDone.Do(func() { close(f.done) })
 	var wait sync.WaitGroup
@@ -622,7 +647,7 @@
 	wait.Wait()
 }
 
-// use samples what the processes use; the sums of CPU count lives that have ended too.
+// processUsage returns the resource usage of each proxy's last process; zero for one that has ended.
 func (f *fleet) processUsage() (usage []measure.Usage) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -636,6 +661,7 @@
 	return usage
 }
 
+// crashReports describes the processes that ended by themselves.
 func (f *fleet) crashReports() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/lab/run/run.go
+++ b/lab/run/run.go
@@ -1,5 +1,5 @@
-// Package run plays one experiment: it puts the world up, starts the proxies, plays load and faults, ends all that it
-// started, and judges the ledger.
+// Package run executes an experiment: it starts the stand-ins and the proxies, generates the load, injects the faults, ends all
+// processes that it started, and judges the ledger.
 package run
 
 import (
@@ -17,24 +17,24 @@
 	"minttray/lab/world"
 )
 
-// Options is what a run is made of beside its file.
+// Options are the settings of a run beside its experiment.
 type Options struct {
-	Dir     string   // for its results; made if it is not there
-	Command []string // a proxy's program
-	Env     []string
-	Rule    string // what decides in it, for the report
-	Logf    func(format string, args ...any)
-	Stop    <-chan struct{}
+	Dir     string                           // of its results; created if missing
+	Command []string                         // that starts a proxy
+	Env     []string                         // added to the environment of the proxies
+	Rule    string                           // name of the decision rule that the proxies use, for the report
+	Logf    func(format string, args ...any) // prints the progress each second; nil: none
+	Stop    <-chan struct{}                  // closed to interrupt the run
 }
 
 const (
-	maxSendDelay     = 5 * time.Millisecond // of the lab itself
-	minPunctualShare = 0.95                 // of the ops that must be sent within that
-	settleTime       = 300 * time.Millisecond
+	maxSendDelay     = 5 * time.Millisecond   // of the laboratory itself, for an op or for the work of a stand-in
+	minPunctualShare = 0.95                   // share of ops and of work within maxSendDelay in a valid run
+	settleTime       = 300 * time.Millisecond // from the start of the proxies to the first op
 )
 
-// Play plays an experiment. An error means that there is nothing to judge; a run that proves nothing has its reasons
-// under Void.
+// Execute runs an experiment and writes its results. An error means that there is nothing to judge. A result that proves nothing has
+// its reasons in InvalidReasons.
 func Execute(exp *experiment.File, options Options) (*report.Result, error) {
 	if err := os.MkdirAll(options.Dir, 0o755); err != nil {
 		return nil, err
@@ -64,12 +64,15 @@
 	start := w.Now()
 	player := faults.New(w, proxies, start, options.Stop)
 	faultsDone := make(chan struct{})
-	go func() { player.Run(); close(faultsDone) }()
+	go func() {
+		player.Run()
+		close(faultsDone)
+	}()
 	samplerDone := make(chan struct{})
 	loadDone := make(chan struct{})
 	var peak measure.Usage
 	go func() {
-		peak = sampleEverySecond(exp, w, proxies, balancer, meter, start, loadDone, options.Logf)
+		peak = sampleEverySecond(w, proxies, balancer, meter, start, loadDone, options.Logf)
 		close(samplerDone)
 	}()
 	generator.Run(start, options.Stop)
@@ -96,8 +99,22 @@
 	}
 	w.Close()
 	records, err := writer.Close()
-	result := &report.Result{Name: exp.Name, About: exp.About, Seed: exp.Seed, Rule: options.Rule, Stats: meter.Summarize(), LedgerRecords: records, PeakUsage: peak,
-		LengthSeconds: exp.Length.Std().Seconds(), WarmUpSeconds: exp.WarmUp.Std().Seconds(), ClientConnsOpened: balancer.ConnsOpened.Load(), ProxyCounters: counters, ClientConnsRefused: balancer.ConnsRefused.Load(), OriginFetches: w.Origin.Fetches.Load(), ListBytes: w.Registry.BytesSent.Load()}
+	result := &report.Result{
+		Name:               exp.Name,
+		About:              exp.About,
+		Seed:               exp.Seed,
+		Rule:               options.Rule,
+		Stats:              meter.Summarize(),
+		LedgerRecords:      records,
+		PeakUsage:          peak,
+		LengthSeconds:      exp.Length.Std().Seconds(),
+		WarmUpSeconds:      exp.WarmUp.Std().Seconds(),
+		ClientConnsOpened:  balancer.ConnsOpened.Load(),
+		ProxyCounters:      counters,
+		ClientConnsRefused: balancer.ConnsRefused.Load(),
+		OriginFetches:      w.Origin.Fetches.Load(),
+		ListBytes:          w.Registry.BytesSent.Load(),
+	}
 	if err != nil {
 		result.InvalidReasons = append(result.InvalidReasons, "the ledger's disk: "+err.Error())
 	}
@@ -129,23 +146,36 @@
 	return result, result.Write(options.Dir)
 }
 
-// Judge reads a ledger and gives the verdict on the rules.
+// Judge reads a ledger and returns the verdict on the rules. zones maps server numbers to zone indexes; nil: unknown.
 func Judge(path string, exp *experiment.File, zones map[uint32]int) (*ledger.Verdict, error) {
 	in, err := os.Open(path)
 	if err != nil {
 		return nil, err
 	}
 	defer in.Close()
-	params := ledger.RuleParams{ServerZone: zones, DrainGrace: exp.Rules.DrainGrace.Std(), OverloadFactor: exp.Rules.OverloadFactor, OverloadWindow: exp.Rules.OverloadWindow.Std(),
-		ColdCapacityShare: exp.Caches.ColdCapacityShare, WarmUp: exp.Caches.WarmUp.Std(), MaxPushes: exp.Rules.MaxPushes, AllowConcurrentPushes: exp.Rules.AllowConcurrentPushes,
-		Slack: exp.Rules.Slack.Std()}
+	params := ledger.RuleParams{
+		ServerZone:            zones,
+		DrainGrace:            exp.Rules.DrainGrace.Std(),
+		OverloadFactor:        exp.Rules.OverloadFactor,
+		OverloadWindow:        exp.Rules.OverloadWindow.Std(),
+		ColdCapacityShare:     exp.Caches.ColdCapacityShare,
+		WarmUp:                exp.Caches.WarmUp.Std(),
+		MaxPushes:             exp.Rules.MaxPushes,
+		AllowConcurrentPushes: exp.Rules.AllowConcurrentPushes,
+		Slack:                 exp.Rules.Slack.Std(),
+	}
 	for _, c := range exp.Categories {
 		maxRefusalDelay := exp.Rules.MaxRefusalDelay.Std()
 		if maxRefusalDelay == 0 {
 			maxRefusalDelay = c.TTL.Std() / 2
 		}
-		params.Categories = append(params.Categories, ledger.Category{TTL: c.TTL.Std(), DedupWindow: c.DedupWindow.Std(), Effect: c.Effect, ZoneScopedDedup: c.DedupGroup == "zone",
-			MaxRefusalDelay: maxRefusalDelay})
+		params.Categories = append(params.Categories, ledger.Category{
+			TTL:             c.TTL.Std(),
+			DedupWindow:     c.DedupWindow.Std(),
+			Effect:          c.Effect,
+			ZoneScopedDedup: c.DedupGroup == "zone",
+			MaxRefusalDelay: maxRefusalDelay,
+		})
 	}
 	judge := ledger.NewJudge(params)
 	if err := ledger.Read(in, judge.Add); err != nil {
@@ -154,8 +184,8 @@
 	return judge.Finish(), nil
 }
 
-// fill lets every cache hold the most asked keys, as many as it has room for. Which of them a proxy would ask for a
-// key is not known here: the rest comes in the run's first seconds.
+// prefillCaches stores the most requested keys in every cache, as many as it has room for. Which cache the proxies select for a key is
+// not known here; the caches adapt in the first seconds of the run.
 func prefillCaches(exp *experiment.File, w *world.World) {
 	if !exp.Caches.Prefilled {
 		return
@@ -172,38 +202,48 @@
 	}
 }
 
-// sample takes figures each second.
-func sampleEverySecond(exp *experiment.File, w *world.World, proxies *fleet, front *load.Balancer, meter *measure.Meter, start time.Duration,
-	ended <-chan struct{}, logf func(string, ...any)) (peak measure.Usage) {
+// sampleEverySecond adds samples of the stand-ins and the proxies to the meter until loadDone is closed, and returns the peak usage of a
+// proxy and the CPU seconds of all.
+func sampleEverySecond(w *world.World, proxies *fleet, balancer *load.Balancer, meter *measure.Meter, start time.Duration,
+	loadDone <-chan struct{}, logf func(string, ...any)) (peak measure.Usage) {
 	ticker := time.NewTicker(time.Second)
 	defer ticker.Stop()
-	fetches, opened, last := w.Origin.Fetches.Load(), front.ConnsOpened.Load(), proxies.processUsage()
+	fetches := w.Origin.Fetches.Load()
+	opened := balancer.ConnsOpened.Load()
+	previous := proxies.processUsage()
 	for {
 		select {
-		case <-ended:
+		case <-loadDone:
 			return peak
 		case <-ticker.C:
 		}
-		elapsed := w.Now() - start - time.Second/2
-		cpu, memory, conns, waiting := 0.0, 0.0, 0, 0
-		now := proxies.processUsage()
-		for i, u := range now {
-			if u.CPU >= last[i].CPU {
-				cpu += u.CPU - last[i].CPU
+		elapsed := w.Now() - start - time.Second/2 // middle of the sampled second
+		cpu, memory := 0.0, 0.0                    // CPU seconds, MB
+		conns, queued := 0, 0
+		usage := proxies.processUsage()
+		for i, u := range usage {
+			if u.CPU >= previous[i].CPU {
+				cpu += u.CPU - previous[i].CPU
 			}
 			memory += u.MemoryMB
 			peak.MemoryMB = max(peak.MemoryMB, u.MemoryMB)
 			peak.Descriptors = max(peak.Descriptors, u.Descriptors)
 		}
-		last = now
+		previous = usage
 		peak.CPU += cpu
 		for _, c := range w.Caches() {
 			conns += c.Connections()
-			waiting += c.QueuedRequests()
+			queued += c.QueuedRequests()
 		}
-		fetchesNow, openedNow := w.Origin.Fetches.Load(), front.ConnsOpened.Load()
+		fetchesNow := w.Origin.Fetches.Load()
+		openedNow := balancer.ConnsOpened.Load()
 		meter.UpdateSecond(elapsed, func(s *measure.Second) {
-			s.Fetches, s.ConnsOpened, s.Conns, s.QueuedRequests, s.CPU, s.MemoryMB = fetchesNow-fetches, openedNow-opened, conns, waiting, cpu, memory
+			s.Fetches = fetchesNow - fetches
+			s.ConnsOpened = openedNow - opened
+			s.Conns = conns
+			s.QueuedRequests = queued
+			s.CPU = cpu
+			s.MemoryMB = memory
 		})
 		if logf != nil {
 			ops, service := meter.RecentService(elapsed)
--- a/lab/run/run_test.go
+++ b/lab/run/run_test.go
@@ -14,7 +14,7 @@
 	"minttray/lab/report"
 )
 
-// build puts a program of this repository where a test can start it.
+// buildProgram builds a program of this repository and returns its path.
 func buildProgram(t *testing.T, name string) string {
 	path := filepath.Join(t.TempDir(), name)
 	if out, err := exec.Command("go", "build", "-o", path, "minttray/cmd/"+name).CombinedOutput(); err != nil {
@@ -23,54 +23,59 @@
 	return path
 }
 
-// Experiments that run beside each other at most: each takes most of a core, and a lab without a core runs late.
 var (
-	slots     = make(chan struct{}, max(1, runtime.GOMAXPROCS(0)/2))
+	// slots limits the experiments that run in parallel: each takes most of a core, and without a core the laboratory runs late.
+	slots = make(chan struct{}, max(1, runtime.GOMAXPROCS(0)/2))
+	// exclusive is locked for writing by an experiment that must run alone.
 	exclusive sync.RWMutex
 )
 
-// played plays an experiment to its verdict. Where the lab itself ran late its ledger shows nothing, neither a rule that broke nor
-// one that was kept: such a run is never a pass. It is played again with no other beside it, twice at most, and fails then.
-func executeValid(t *testing.T, x *experiment.File, o Options) (r *report.Result, dir string) {
+// executeValid runs an experiment to its verdict. Where the laboratory itself ran late the ledger shows neither a broken rule nor a kept
+// one, so such a run never passes: it is repeated alone, twice at most, and the test fails then.
+func executeValid(t *testing.T, exp *experiment.File, options Options) (result *report.Result, dir string) {
 	t.Helper()
-	o.Stop = make(chan struct{})
-	play := func() (late bool) {
+	options.Stop = make(chan struct{})
+	execute := func() (late bool) {
 		dir = t.TempDir()
-		o.Dir = dir
+		options.Dir = dir
 		var err error
-		if r, err = Execute(x, o); err != nil {
+		if result, err = Execute(exp, options); err != nil {
 			t.Fatal(err)
 		}
-		for _, why := range r.InvalidReasons {
-			if strings.HasPrefix(why, "a fault could not be played") {
-				t.Fatal(why)
+		for _, reason := range result.InvalidReasons {
+			if strings.HasPrefix(reason, "a fault could not be played") {
+				t.Fatal(reason)
 			}
-			late = late || strings.HasPrefix(why, "the lab ran late") || strings.HasPrefix(why, "stand-ins stalled")
+			late = late || strings.HasPrefix(reason, "the lab ran late") || strings.HasPrefix(reason, "stand-ins stalled")
 		}
-		t.Logf("%s: %.1f%% sent in time, %.1f%% of the stand-ins' work late", x.Name, 100*r.Stats.SentWithin5ms, 100*r.StandInLateShare)
+		t.Logf("%s: %.1f%% sent in time, %.1f%% of the stand-ins' work late", exp.Name, 100*result.Stats.SentWithin5ms, 100*result.StandInLateShare)
 		return late
 	}
 	late := func() bool {
 		slots <- struct{}{}
 		exclusive.RLock()
-		defer func() { exclusive.RUnlock(); <-slots }()
-		return play()
+		defer func() {
+			exclusive.RUnlock()
+			<-slots
+		}()
+		return execute()
 	}()
-	for again := 0; late && again < 2; again++ {
-		t.Logf("proves nothing, played again alone: %s", r.Summary())
+	for retries := 0; late && retries < 2; retries++ {
+		t.Logf("invalid run, repeated alone: %s", result.Summary())
 		late = func() bool {
 			exclusive.Lock()
 			defer exclusive.Unlock()
-			return play()
+			return execute()
 		}()
 	}
 	if late {
-		t.Fatalf("the machine is too busy to show anything: %s", r.Summary())
+		t.Fatalf("no valid run, the machine is too busy: %s", result.Summary())
 	}
-	return r, dir
+	return result, dir
 }
 
-// Real daemons, a cache that dies, one that drains, a proxy that is killed: the verdict hangs on counts alone.
+// Real proxies, while a cache dies, another drains and a proxy is killed: no rule may be broken, every try must have one end, and all
+// result files must be written. The checks depend on counts alone, not on the speed of the machine.
 func TestSmoke(t *testing.T) {
 	t.Parallel()
 	x, err := experiment.Read("../../experiments/smoke.toml")
@@ -83,28 +88,28 @@
 		t.Errorf("%s", r.Summary())
 	}
 	if sum := v.Answers["acked"] + v.Answers["nacked"] + v.Answers["dead-lettered"] + v.Answers["crossed"] + v.ClientsLeft + v.KilledOps; sum != v.Ops {
-		t.Errorf("%d tries, %d ends: %+v", v.Ops, sum, v)
+		t.Errorf("%d tries but %d ends: %+v", v.Ops, sum, v)
 	}
 	for _, name := range []string{"result.json", "summary.txt", "report.html", "service.svg", "ledger.bin"} {
 		if info, err := os.Stat(filepath.Join(dir, name)); err != nil || info.Size() == 0 {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	told := 0
+	announced := 0
 	in, _ := os.Open(filepath.Join(dir, "ledger.bin"))
 	defer in.Close()
 	ledger.Read(in, func(r ledger.Record) {
 		if r.Kind == ledger.StateAnnounced {
-			told++
+			announced++
 		}
 	})
-	if told < x.Proxies.Count {
-		t.Errorf("proxies were told of a drain or a death %d times", told)
+	if announced < x.Proxies.Count {
+		t.Errorf("%d drains and deaths announced to %d proxies", announced, x.Proxies.Count)
 	}
 }
 
-// A fleet that is short as a whole, and an origin that is: no op is lost, none is held back, most of what can't be served is
-// refused rather than pushed. Counts alone; how much is served hangs on the machine.
+// When all caches or the origin lack capacity, no op may be lost and no refusal held back. The share that is served depends on the
+// machine and is not checked.
 func TestShortages(t *testing.T) {
 	t.Parallel()
 	daemon := buildProgram(t, "minttray")
@@ -121,8 +126,8 @@
 	}
 }
 
-// Retries behind late misses, lost answers, resets, slow ways and stalls: no attempt passes its server more than its client has left, nor
-// nothing. There are retries to judge, and attempts at the origin.
+// After late misses, lost answers, resets, slow links and stalls, no attempt may forward a deadline later than its client's, or none. The
+// run must have enough retries and attempts at the origin to judge.
 func TestDeadlines(t *testing.T) {
 	t.Parallel()
 	x, err := experiment.Read("../../experiments/deadlines-short.toml")
@@ -146,16 +151,16 @@
 		}
 	})
 	if stalls != 2 {
-		t.Errorf("%d proxies were stopped for a while", stalls)
+		t.Errorf("%d proxies were stopped, want 2", stalls)
 	}
 	if v.DeadlinesChecked != v.Pushes || v.Pushes < v.Ops+200 || r.OriginFetches < 200 {
-		t.Errorf("%d deadlines of %d attempts for %d tries were judged, %d fetches: too few to show anything", v.DeadlinesChecked, v.Pushes, v.Ops, r.OriginFetches)
+		t.Errorf("%d deadlines checked of %d attempts for %d tries, %d fetches: not all checked, or too few", v.DeadlinesChecked, v.Pushes, v.Ops, r.OriginFetches)
 	}
 }
 
-// Operators at work under load, played to verdicts by counts: both processes of an upgrade are one life to the ledger, so that
-// what either loses is lost, a push to a cache after the yes is one to a drained cache, and a proxy that goes on saying yes, or
-// holds idle connections 4 s after clients were sent away, is a failure of the run.
+// Operators' calls under load. Both processes of an upgrade are one incarnation in the ledger, so that an op lost by either is a
+// violation. So is a push to a cache after the successful answer to its detachment. A proxy that still answers PING in lameduck mode, or
+// holds idle connections after 4 s of it, is an error of the run.
 func TestOperators(t *testing.T) {
 	t.Parallel()
 	daemon := buildProgram(t, "minttray")
@@ -169,55 +174,55 @@
 		if !v.Passed() || !v.Complete || len(r.Crashes) > 0 || v.Answers["acked"] < 100 || v.KilledOps > 0 {
 			t.Errorf("%s: %s", name, r.Summary())
 		}
-		// The proxies' own figures against the ledger, where none was replaced: what clients that had gone were owed may count.
+		// Compare the proxies' counters with the ledger where no proxy was replaced. Answers to clients that had left may be counted too.
 		if n := r.ProxyCounters; name == "lameduck-short" {
-			gone := int64(v.ClientsLeft + v.Answers["crossed"])
-			for figure, answers := range map[string]int{"svc_served": v.Answers["acked"], "svc_refused": v.Answers["nacked"], "svc_failed": v.Answers["dead-lettered"]} {
-				if n[figure] < int64(answers) || n[figure] > int64(answers)+gone {
-					t.Errorf("%s is %d, and clients got %d", figure, n[figure], answers)
+			unanswered := int64(v.ClientsLeft + v.Answers["crossed"])
+			for counter, answers := range map[string]int{"svc_served": v.Answers["acked"], "svc_refused": v.Answers["nacked"], "svc_failed": v.Answers["dead-lettered"]} {
+				if n[counter] < int64(answers) || n[counter] > int64(answers)+unanswered {
+					t.Errorf("%s is %d, but clients received %d answers and %d may have missed one", counter, n[counter], answers, unanswered)
 				}
 			}
 			if n["svc_in_flight"] != 0 || n["unanswered"] != 0 || n["svc_attempts"] < n["svc_served"] {
-				t.Errorf("%v", n)
+				t.Errorf("inconsistent counters: %v", n)
 			}
 		}
-		hands := 0
+		overrides := 0
 		in, _ := os.Open(filepath.Join(dir, "ledger.bin"))
 		defer in.Close()
 		ledger.Read(in, func(r ledger.Record) {
 			if r.Kind == ledger.OperatorOverride {
-				hands++
+				overrides++
 			}
 		})
-		if hands != calls*x.Proxies.Count {
-			t.Errorf("%s: %d calls of operators booked, by %d proxies", name, hands, x.Proxies.Count)
+		if overrides != calls*x.Proxies.Count {
+			t.Errorf("%s: %d operators' calls recorded for %d proxies", name, overrides, x.Proxies.Count)
 		}
 	}
 }
 
-// Proxies restarted round and round by SIGTERM, SIGKILL and upgrades, and by upgrades alone: every try that was taken ends in one
-// answer unless SIGKILL took its proxy, and where all restarts are upgrades nothing is lost and no connection is refused.
+// Proxies are restarted in turn by SIGTERM, SIGKILL and upgrades, or by upgrades alone. Every accepted try must end in one answer unless
+// its proxy was killed. With upgrades alone no op may be lost and no connection refused.
 func TestRollingWaves(t *testing.T) {
 	t.Parallel()
 	daemon := buildProgram(t, "minttray")
-	for _, by := range []string{"mixed", "upgrade"} {
+	for _, mode := range []string{"mixed", "upgrade"} {
 		x, err := experiment.Read("../../experiments/waves-short.toml")
 		if err != nil {
 			t.Fatal(err)
 		}
-		x.Faults[0].Mode = by
+		x.Faults[0].Mode = mode
 		r, _ := executeValid(t, x, Options{Command: []string{daemon}, Rule: "minttray"})
 		v := r.Verdict
 		if !v.Passed() || !v.Complete || len(r.Crashes) > 0 || v.Answers["acked"] < 100 || len(r.Stats.RestartedByAge) == 0 {
-			t.Errorf("%s: %s", by, r.Summary())
+			t.Errorf("%s: %s", mode, r.Summary())
 		}
-		if by == "upgrade" && (v.KilledOps > 0 || r.ClientConnsRefused > 0) {
-			t.Errorf("%d held by a process that ended, %d connections refused", v.KilledOps, r.ClientConnsRefused)
+		if mode == "upgrade" && (v.KilledOps > 0 || r.ClientConnsRefused > 0) {
+			t.Errorf("%d ops lost with their process, %d connections refused", v.KilledOps, r.ClientConnsRefused)
 		}
 	}
 }
 
-// Danger: a daemon that doesn't start must be named with what it said, and must leave nothing running.
+// The error for a proxy that does not start must name the proxy and quote its log.
 func TestADaemonThatDoesNotStartIsNamed(t *testing.T) {
 	x, err := experiment.Read("../../experiments/smoke.toml")
 	if err != nil {
@@ -229,7 +234,7 @@
 	}
 }
 
-// A run that is interrupted ends soon, ends its processes, and is void, not lost.
+// An interrupted run must end soon with an invalid result, and its ledger must still be judged.
 func TestInterrupted(t *testing.T) {
 	t.Parallel()
 	x, err := experiment.Read("../../experiments/smoke.toml", "length=10m", "proxies.count=1")
@@ -238,12 +243,12 @@
 	}
 	stop := make(chan struct{})
 	seconds := 0
-	say := func(string, ...any) { // a line a second, once ops are sent
+	logf := func(string, ...any) { // called each second once ops are sent
 		if seconds++; seconds == 2 {
 			close(stop)
 		}
 	}
-	r, err := Execute(x, Options{Logf: say, Dir: t.TempDir(), Command: []string{buildProgram(t, "mintbase")}, Env: []string{"MINTBASE_RULE=rendezvous"}, Stop: stop})
+	r, err := Execute(x, Options{Logf: logf, Dir: t.TempDir(), Command: []string{buildProgram(t, "mintbase")}, Env: []string{"MINTBASE_RULE=rendezvous"}, Stop: stop})
 	if err != nil || r.ExitStatus() != 3 || r.Verdict.Complete || !r.Verdict.Passed() || r.Verdict.Ops == 0 {
 		t.Errorf("%v, %+v", err, r)
 	}
--- a/lab/run/settings.go
+++ b/lab/run/settings.go
@@ -10,59 +10,106 @@
 	"minttray/lab/experiment"
 )
 
+// effectNames maps the effects of an experiment to those of a proxy's settings.
 var effectNames = map[string]string{"redeliverable": "read_like", "deduplicated": "idempotency_key", "at-most-once": "non_idempotent"}
 
+// object is a JSON object.
 type object = map[string]any
 
-func micros(s experiment.Duration) int64 { return int64(s.Std() / time.Microsecond) }
+// Settings of every proxy that experiments do not vary.
+const (
+	quotaHeadroom        = 1.2 // quota of a tenant that has none configured, as a multiple of its share of the load
+	beyondShareBenefit   = 0.1
+	connectionDeduction  = 0.1
+	handshakeDeduction   = 0.1
+	originKind           = 2 // index of "origin" in "skus"
+	connIdleMicros       = 60_000_000
+	connectTimeoutMicros = 100_000
+	tickMicros           = 5000
+	maxOpen              = 20_000
+	proxySeedSpacing     = 1000 // between the proxies' seeds of two runs with adjacent seeds
+)
+
+// micros converts a duration to microseconds.
+func micros(d experiment.Duration) int64 { return int64(d.Std() / time.Microsecond) }
 
-// settings is the deployment as proxies are told it.
-func proxySettings(x *experiment.File, n int) object {
+// proxySettings returns the settings section of a proxy's configuration.
+func proxySettings(exp *experiment.File, proxy int) object {
 	categories, tenants := []object{}, []object{}
-	for _, c := range x.Categories {
-		categories = append(categories, object{"name": c.Name, "benefit": c.Benefit, "effect": effectNames[c.Effect], "group": c.DedupGroup,
-			"dedup-window-us": micros(c.DedupWindow), "target-latency-us": micros(c.Target), "ttl-us": micros(c.TTL)})
+	for _, c := range exp.Categories {
+		categories = append(categories, object{
+			"name":              c.Name,
+			"benefit":           c.Benefit,
+			"effect":            effectNames[c.Effect],
+			"group":             c.DedupGroup,
+			"dedup-window-us":   micros(c.DedupWindow),
+			"target-latency-us": micros(c.Target),
+			"ttl-us":            micros(c.TTL),
+		})
 	}
-	for _, t := range x.Tenants {
+	for _, t := range exp.Tenants {
 		quota := t.Quota
 		if quota == 0 {
-			quota = t.Share * x.Load.Rate * 1.2
+			quota = t.Share * exp.Load.Rate * quotaHeadroom
 		}
 		tenants = append(tenants, object{"name": t.Name, "quota-rps": quota})
 	}
 	return object{
-		"balancers": x.Proxies.Count, "beyond-share-benefit": 0.1, "categories": categories, "tenants": tenants,
-		"client-habits": object{"marks-retry": x.Clients.MarkRetries},
-		"contract": object{"cold-from": x.Caches.ColdCapacityShare, "drain-grace-us": micros(x.Rules.DrainGrace), "fall-multiple": x.Rules.OverloadFactor,
-			"tip-after-us": micros(x.Rules.OverloadWindow), "warm-up-us": micros(x.Caches.WarmUp)},
-		"deductions": object{"connection": 0.1, "handshake": 0.1}, "discovery": "push",
-		"family-info": object{"mode": x.Caches.Mode, "origin-kind": 2},
-		"limits": object{"cancelling": true, "conn-idle-us": 60_000_000, "connect-timeout-us": 100_000, "max-open": 20_000,
-			"max-retry-after-us": micros(x.Rules.MaxRetryAfter), "most-pushes": x.Rules.MaxPushes, "retry-after": true},
-		"zone": x.ZoneOfProxy(n),
-		"skus": []string{"std", "small", "origin"}, "tick-us": 5000, "zones": x.Zones.Names,
+		"balancers":            exp.Proxies.Count,
+		"beyond-share-benefit": beyondShareBenefit,
+		"categories":           categories,
+		"tenants":              tenants,
+		"client-habits":        object{"marks-retry": exp.Clients.MarkRetries},
+		"contract": object{
+			"cold-from":      exp.Caches.ColdCapacityShare,
+			"drain-grace-us": micros(exp.Rules.DrainGrace),
+			"fall-multiple":  exp.Rules.OverloadFactor,
+			"tip-after-us":   micros(exp.Rules.OverloadWindow),
+			"warm-up-us":     micros(exp.Caches.WarmUp),
+		},
+		"deductions":  object{"connection": connectionDeduction, "handshake": handshakeDeduction},
+		"discovery":   "push",
+		"family-info": object{"mode": exp.Caches.Mode, "origin-kind": originKind},
+		"limits": object{
+			"cancelling":         true,
+			"conn-idle-us":       connIdleMicros,
+			"connect-timeout-us": connectTimeoutMicros,
+			"max-open":           maxOpen,
+			"max-retry-after-us": micros(exp.Rules.MaxRetryAfter),
+			"most-pushes":        exp.Rules.MaxPushes,
+			"retry-after":        true,
+		},
+		"zone":    exp.ZoneOfProxy(proxy),
+		"skus":    []string{"std", "small", "origin"},
+		"tick-us": tickMicros,
+		"zones":   exp.Zones.Names,
 	}
 }
 
-// operators is the operators' file of all proxies; empty: they have none.
-func operatorsConfig(dir string, x *experiment.File) (text string) {
-	if x.Proxies.DoubtShare > 0 {
-		text += fmt.Sprintf("[list]\ndoubt = %v\n", x.Proxies.DoubtShare)
+// operatorsConfig returns the operators' configuration file of all proxies; empty: none.
+func operatorsConfig(dir string, exp *experiment.File) (text string) {
+	if exp.Proxies.DoubtShare > 0 {
+		text += fmt.Sprintf("[list]\ndoubt = %v\n", exp.Proxies.DoubtShare)
 	}
-	if x.Proxies.PersistState {
+	if exp.Proxies.PersistState {
 		stateDir, _ := filepath.Abs(dir)
 		text += fmt.Sprintf("[state]\ndir = %q\n", stateDir)
 	}
 	return text
 }
 
-// configure writes a proxy's configuration.
-func writeConfig(dir string, x *experiment.File, n int, listen, discovery, control string, known object) (string, error) {
-	path := filepath.Join(dir, fmt.Sprintf("proxy-%d.json", n))
+// writeConfig writes the configuration file of a proxy and returns its path. control is the address of its control port, empty for
+// none; initialList is the list of caches to start with.
+func writeConfig(dir string, exp *experiment.File, proxy int, listen, discovery, control string, initialList object) (string, error) {
+	path := filepath.Join(dir, fmt.Sprintf("proxy-%d.json", proxy))
 	config := object{
-		"name": fmt.Sprintf("proxy-%d", n), "listen": listen, "discovery": discovery, "seed": fmt.Sprintf("%016x", x.Seed*1000+uint64(n)),
-		"limits": object{"cores": x.Proxies.Cores, "memory_mb": x.Proxies.MemoryMB, "sockets": x.Proxies.Sockets},
-		"known":  known, "settings": proxySettings(x, n),
+		"name":      fmt.Sprintf("proxy-%d", proxy),
+		"listen":    listen,
+		"discovery": discovery,
+		"seed":      fmt.Sprintf("%016x", exp.Seed*proxySeedSpacing+uint64(proxy)),
+		"limits":    object{"cores": exp.Proxies.Cores, "memory_mb": exp.Proxies.MemoryMB, "sockets": exp.Proxies.Sockets},
+		"known":     initialList,
+		"settings":  proxySettings(exp, proxy),
 	}
 	if control != "" {
 		config["control"] = control
--- a/lab/run/sites_test.go
+++ b/lab/run/sites_test.go
@@ -12,8 +12,8 @@
 	"minttray/lab/report"
 )
 
-// Sites that are lost, cut off, come back and are lost again, and processes that stand still: six real daemons over three sites.
-// The verdict hangs on counts alone: every try has one end, no rule is broken, whatever was asked of the lab was done.
+// Sites that are lost, cut off, return and are lost again, and processes that are stopped, with real proxies at several sites. No rule
+// may be broken and every try must have one end. The checks depend on counts alone.
 func TestSites(t *testing.T) {
 	t.Parallel()
 	daemon := buildProgram(t, "minttray")
@@ -33,42 +33,44 @@
 			for _, n := range v.Answers {
 				sum += n
 			}
-			if sum < v.Ops || sum > v.Ops+v.StalledOps { // one that stood still may have answered all the same
-				t.Errorf("%d tries, %d ends: %+v", v.Ops, sum, v)
+			if sum < v.Ops || sum > v.Ops+v.StalledOps { // an op of a stopped proxy may have been answered too
+				t.Errorf("%d tries but %d ends: %+v", v.Ops, sum, v)
 			}
 			if n := r.ProxyCounters; name == "site-by-hand" && (n["svc_sites_out"] != 0 || n["svc_site_cache_nodes_out"] != 0 || n["unanswered"] != 0 || v.KilledOps > 0) {
-				t.Errorf("%v, %d held by processes that ended", n, v.KilledOps)
+				t.Errorf("sites still detached, a proxy unreachable or ops lost: %v, %d ops lost with their process", n, v.KilledOps)
 			}
 			if name == "stalls" && v.StalledOps == 0 {
-				t.Error("nobody was asked while it stood still")
+				t.Error("no op was sent to a stopped proxy")
 			}
 		})
 	}
 }
 
-// Planted faults: a rule that gives a returned site its seats back at once, so that all proxies together push its cold caches
-// over; one that sends an at-most-once op on to another site as the ways to the first are reset; a proxy that sends ops on for clients
-// that have left; one that passes the client's own deadline with a retry; those that close a connection on a request that they have read,
-// or whose answer has come. All are found, and the module, told the same terms on the same day, does none.
+// The judge must detect faulty proxies, and find no violation by minttray in the same experiments. The faults are: a rule that returns the
+// whole load to a returned site at once, so that its cold caches are overloaded; a rule that retries an at-most-once op at another site
+// after its connection was reset; proxies that push for clients that have left, that forward the client's original deadline with a retry,
+// or that close a connection after reading a request or before sending its answer.
 func TestPlantedFaults(t *testing.T) {
 	t.Parallel()
 	daemon := buildProgram(t, "minttray")
-	patient := []string{"caches.mode=\"through\"", "clients.leave=0.5", "rules.slack=\"200ms\"", "load.rate=40"}
+	patientClients := []string{"caches.mode=\"through\"", "clients.leave=0.5", "rules.slack=\"200ms\"", "load.rate=40"}
 	for name, c := range map[string]struct {
-		rule, breaks, file string
-		set                []string
+		rule      string
+		breaks    string // the ledger rule that it breaks
+		file      string
+		overrides []string
 	}{
 		"seats at once": {"rendezvous", ledger.RuleColdOverload, "site-lost-short", []string{"caches.cold_from=0.05", "caches.warm_up=8s", "rules.fall_multiple=1", "load.rate=900"}},
 		"sent on":       {"reckless", ledger.RuleDuplicateEffect, "site-cut-short", []string{"caches.mode=\"through\"", "load.rate=600"}},
-		"for nobody":    {baseline.IgnoresClientClose, ledger.RulePushAfterClientLeft, "smoke", patient},
+		"for nobody":    {baseline.IgnoresClientClose, ledger.RulePushAfterClientLeft, "smoke", patientClients},
 		"drops read":    {baseline.ClosesAfterRead, ledger.RuleAnswerLost, "smoke", nil},
 		"drops answer":  {baseline.ClosesBeforeReply, ledger.RuleAnswerLost, "smoke", nil},
-		"own deadline":  {baseline.ForwardsClientDeadline, ledger.RuleDeadline, "smoke", patient},
+		"own deadline":  {baseline.ForwardsClientDeadline, ledger.RuleDeadline, "smoke", patientClients},
 	} {
 		for _, rule := range []string{c.rule, "minttray"} {
 			t.Run(name+", "+rule, func(t *testing.T) {
 				t.Parallel()
-				x, err := experiment.Read("../../experiments/"+c.file+".toml", c.set...)
+				x, err := experiment.Read("../../experiments/"+c.file+".toml", c.overrides...)
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -78,16 +80,19 @@
 						x.Faults = append(x.Faults, experiment.Fault{Kind: "reset", Zone: "b", Start: experiment.Duration(time.Duration(n+1) * 500 * time.Millisecond)})
 					}
 				}
-				if name == "for nobody" || name == "own deadline" { // clients that wait for long, and leave early
+				if name == "for nobody" || name == "own deadline" { // long deadlines, with clients that leave early
 					x.Faults = nil
 					for i := range x.Categories {
 						c := &x.Categories[i]
-						c.TTL, c.Target, c.Work = experiment.Duration(4*time.Second), experiment.Duration(3*time.Second), experiment.Duration(500*time.Millisecond)
+						c.TTL = experiment.Duration(4 * time.Second)
+						c.Target = experiment.Duration(3 * time.Second)
+						c.Work = experiment.Duration(500 * time.Millisecond)
 					}
 				}
 				o := Options{Command: []string{daemon}, Rule: rule}
 				if rule != "minttray" {
-					o.Command, o.Env = []string{buildProgram(t, "mintbase")}, []string{"MINTBASE_RULE=" + rule}
+					o.Command = []string{buildProgram(t, "mintbase")}
+					o.Env = []string{"MINTBASE_RULE=" + rule}
 				}
 				r, _ := executeValid(t, x, o)
 				if name == "for nobody" && r.Verdict.ClientsLeft == 0 {
@@ -101,8 +106,8 @@
 	}
 }
 
-// What a plan foretold and what a run showed are set beside each other for each loss; the columns are those that a reader compares.
-func TestSeen(t *testing.T) {
+// ComparePlan must print the planned and the measured values of each loss in the same row.
+func TestComparePlan(t *testing.T) {
 	x, err := experiment.Read("../../experiments/site-lost.toml")
 	if err != nil {
 		t.Fatal(err)
@@ -119,6 +124,6 @@
 	}
 	lines := strings.Split(strings.TrimSpace(out.String()), "\n")
 	if len(lines) != 4 || strings.Join(strings.Fields(lines[1]), " ") != "site-lost b at once 0.500 0.900 500 400" {
-		t.Errorf("%s", out.String())
+		t.Errorf("unexpected table:\n%s", out.String())
 	}
 }
--- a/lab/run/soak.go
+++ b/lab/run/soak.go
@@ -12,25 +12,26 @@
 	"minttray/lab/report"
 )
 
-// SoakRow is what one seed of a soak came to.
+// SoakResult is the result of one seed of a soak test.
 type SoakResult struct {
 	Seed       uint64
 	Experiment *experiment.File
 	Result     *report.Result
-	Err        error // there is nothing to judge
+	Err        error // why there is nothing to judge; Result may be nil then
 }
 
-// Failed tells whether a rule broke, a process crashed, or nothing could be played.
+// Failed reports whether a rule was broken, a process crashed, or the run could not be executed.
 func (r SoakResult) Failed() bool {
 	return r.Err != nil || !r.Result.Verdict.Passed() || len(r.Result.Crashes) > 0
 }
 
-// Void tells whether the run proves nothing: the lab itself ran late.
+// Invalid reports whether a run without failures proves nothing, as when the laboratory itself ran late.
 func (r SoakResult) Invalid() bool {
 	return r.Err == nil && !r.Failed() && len(r.Result.InvalidReasons) > 0
 }
 
-// Soak plays drawn runs, some beside each other, and hands on each as it ends.
+// Soak executes one drawn experiment for each seed, a number of them in parallel, and calls onResult at the end of each, for one at a
+// time.
 func Soak(seeds []uint64, length time.Duration, parallel int, o Options, onResult func(SoakResult)) {
 	jobs := make(chan uint64)
 	var wait sync.WaitGroup
@@ -54,6 +55,7 @@
 	wait.Wait()
 }
 
+// runSeed executes the experiment that is drawn from a seed.
 func runSeed(seed uint64, length time.Duration, o Options) SoakResult {
 	result := SoakResult{Seed: seed, Experiment: experiment.Soak(seed, length)}
 	if result.Err = result.Experiment.Check(); result.Err != nil {
@@ -64,10 +66,11 @@
 	return result
 }
 
-// SoakHead is the head of a soak's table; each row is as SoakRow.String gives it.
-const SoakTableHeader = "| seed | proxies | caches | deadlines | what goes wrong | tries | served | refused | failed | broken rules |\n" +
+// SoakTableHeader is the header of a table of soak results; SoakResult.String returns a row.
+const SoakTableHeader = "| seed | proxies | caches | deadlines | faults | tries | served | refused | failed | violations |\n" +
 	"| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |"
 
+// String returns a table row.
 func (r SoakResult) String() string {
 	var ttls []string
 	for _, c := range r.Experiment.Categories {
@@ -83,24 +86,24 @@
 	}
 	prefix := fmt.Sprintf("| %d | %d | %d | %s | %s |", r.Seed, r.Experiment.Proxies.Count, r.Experiment.Caches.Count, strings.Join(ttls, " "), strings.Join(kinds, ", "))
 	if r.Err != nil {
-		return fmt.Sprintf("%s not played: %v |||||", prefix, r.Err)
+		return fmt.Sprintf("%s not run: %v |||||", prefix, r.Err)
 	}
 	v := r.Result.Verdict
 	return fmt.Sprintf("%s %d | %d | %d | %d | %s |", prefix, v.Ops, v.Answers["acked"], v.Answers["nacked"], v.Answers["dead-lettered"], r.violations())
 }
 
-// broken names what went wrong, or "none".
+// violations lists broken rules, crashes and reasons why the run is invalid, or returns "none".
 func (r SoakResult) violations() string {
 	var violations []string
-	for rule, n := range r.Result.Verdict.Violations {
-		violations = append(violations, fmt.Sprintf("%s %d", rule, n))
+	for rule, count := range r.Result.Verdict.Violations {
+		violations = append(violations, fmt.Sprintf("%s %d", rule, count))
 	}
 	sort.Strings(violations)
 	if len(r.Result.Crashes) > 0 {
 		violations = append(violations, fmt.Sprintf("crashes %d", len(r.Result.Crashes)))
 	}
 	for _, reason := range r.Result.InvalidReasons {
-		violations = append(violations, "void: "+reason)
+		violations = append(violations, "invalid: "+reason)
 	}
 	if len(violations) == 0 {
 		return "none"
--- a/lab/run/soak_test.go
+++ b/lab/run/soak_test.go
@@ -7,13 +7,12 @@
 	"minttray/lab/experiment"
 )
 
-// soakSeeds are played in each CI run; a seed that failed once stays.
+// soakSeeds are run in CI; a seed that has failed once stays in the list.
 var soakSeeds = []uint64{2, 4, 5, 7, 10, 31}
 
 const soakLength = 9 * time.Second
 
-// Drawn deployments, timelines and faults, with the verdict of the ledger alone. A run in which the lab itself ran late shows nothing, and is played
-// again by itself; one that shows a broken rule fails, whatever else it shows.
+// Drawn deployments and faults must break no rule, by the verdict of the ledger alone.
 func TestSoak(t *testing.T) {
 	t.Parallel()
 	daemon := buildProgram(t, "minttray")
@@ -29,7 +28,7 @@
 	}
 }
 
-// keeps plays an experiment to its end, and wants all rules kept and something served.
+// expectRulesKept runs an experiment to its end; no rule may be broken and some ops must be served.
 func expectRulesKept(t *testing.T, x *experiment.File, daemon string) {
 	t.Helper()
 	r, _ := executeValid(t, x, Options{Command: []string{daemon}, Rule: "minttray"})
@@ -38,7 +37,7 @@
 	}
 }
 
-// The incident: a release of thousands of caches, most of them in slow start, under short deadlines.
+// A release of thousands of caches, most of them in slow start, under short deadlines. Guards against a repetition of such an incident.
 func TestLargeRelease(t *testing.T) {
 	t.Parallel()
 	x, err := experiment.Read("../../experiments/large-release.toml", "length=16s")
@@ -48,27 +47,27 @@
 	expectRulesKept(t, x, buildProgram(t, "minttray"))
 }
 
-// The same seed draws the same run, another one another, and each is within the bounds of experiments.
+// Drawn experiments must be valid, reproducible from their seed, and cover the intended range of sizes and deadlines.
 func TestSoakDraws(t *testing.T) {
-	large, fewest, most := 0, 1<<20, 0
-	shortest, longest := time.Hour, time.Duration(0)
+	large, minCaches, maxCaches := 0, 1<<20, 0
+	minTTL, maxTTL := time.Hour, time.Duration(0)
 	for seed := range uint64(300) {
 		x, again := experiment.Soak(seed, soakLength), experiment.Soak(seed, soakLength)
 		if err := x.Check(); err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
 		}
 		if x.Caches != again.Caches || len(x.Faults) != len(again.Faults) || x.Faults[0] != again.Faults[0] {
-			t.Fatalf("seed %d differs", seed)
+			t.Fatalf("seed %d gives two different experiments", seed)
 		}
 		if x.Caches.Count >= 800 {
 			large++
 		}
-		fewest, most = min(fewest, x.Caches.Count), max(most, x.Caches.Count)
+		minCaches, maxCaches = min(minCaches, x.Caches.Count), max(maxCaches, x.Caches.Count)
 		for _, c := range x.Categories {
-			shortest, longest = min(shortest, c.TTL.Std()), max(longest, c.TTL.Std())
+			minTTL, maxTTL = min(minTTL, c.TTL.Std()), max(maxTTL, c.TTL.Std())
 		}
 	}
-	if large < 30 || fewest > 5 || most < 3000 || shortest > 80*time.Millisecond || longest < 2500*time.Millisecond {
-		t.Errorf("%d of 300 large, %d to %d caches, deadlines from %v to %v", large, fewest, most, shortest, longest)
+	if large < 30 || minCaches > 5 || maxCaches < 3000 || minTTL > 80*time.Millisecond || maxTTL < 2500*time.Millisecond {
+		t.Errorf("range not covered: %d of 300 experiments are large, %d to %d caches, deadlines from %v to %v", large, minCaches, maxCaches, minTTL, maxTTL)
 	}
 }
