--- a/cmd/mintlab/main.go
+++ b/cmd/mintlab/main.go
@@ -365,7 +365,8 @@
 				return err
 			}
 			result := report.Result{Name: exp.Name, Seed: exp.Seed, Rule: "ledger", Verdict: verdict}
-			fmt.Fprintf(cmd.OutOrStdout(), "%sjudged in %v; at most %d ops open at once; complete: %v\n", result.Summary(), time.Since(started).Round(time.Millisecond), verdict.MaxOpenOps, verdict.Complete)
+			fmt.Fprintf(cmd.OutOrStdout(), "%sjudged in %v; at most %d ops open at once; complete: %v\n",
+				result.Summary(), time.Since(started).Round(time.Millisecond), verdict.MaxOpenOps, verdict.Complete)
 			if !verdict.Passed() {
 				return exitStatus(exitViolation)
 			}
--- a/cmd/mintlab/soak.go
+++ b/cmd/mintlab/soak.go
@@ -29,7 +29,8 @@
 			}
 			failed, invalid := 0, 0
 			fmt.Fprintln(cmd.OutOrStdout(), run.SoakTableHeader)
-			run.Soak(seedList, length, parallel, run.Options{Dir: outDir, Command: []string{proxy}, Rule: "minttray", Stop: stopOnSignal()}, func(result run.SoakResult) {
+			options := run.Options{Dir: outDir, Command: []string{proxy}, Rule: "minttray", Stop: stopOnSignal()}
+			run.Soak(seedList, length, parallel, options, func(result run.SoakResult) {
 				fmt.Fprintln(cmd.OutOrStdout(), result)
 				if result.Failed() {
 					failed++
--- a/lab/experiment/check.go
+++ b/lab/experiment/check.go
@@ -206,7 +206,8 @@
 			oneOf(prefix+"by", fault.Mode, "term", "kill", "upgrade", "mixed")
 			require(prefix+"for", fault.Duration > 0, "proxy-waves needs a duration")
 		}
-		require(prefix+"to", zones[fault.ToZone] && (fault.ToZone == "" || fault.ToZone != fault.Zone && strings.HasPrefix(fault.Kind, "way-")), "%q is not another zone, or the fault affects no links", fault.ToZone)
+		require(prefix+"to", zones[fault.ToZone] && (fault.ToZone == "" || fault.ToZone != fault.Zone && strings.HasPrefix(fault.Kind, "way-")),
+			"%q is not another zone, or the fault affects no links", fault.ToZone)
 		if fault.Kind == "proxy-signals" {
 			oneOf(prefix+"by", fault.Mode, SignalSeries...)
 		}
@@ -233,7 +234,8 @@
 		if fault.Kind == "throttle" {
 			inRange(prefix+"size", fault.Size, 0.01, 1)
 		}
-		require(prefix+"name", fault.Kind != "runaway" && fault.Kind != "impatient" || fault.Name == "" || tenants[fault.Name], "unknown tenant %q", fault.Name)
+		require(prefix+"name", fault.Kind != "runaway" && fault.Kind != "impatient" || fault.Name == "" || tenants[fault.Name],
+			"unknown tenant %q", fault.Name)
 	}
 	return err
 }
--- a/lab/experiment/experiment.go
+++ b/lab/experiment/experiment.go
@@ -188,9 +188,11 @@
 	Size        float64  `toml:"size"`  // see FaultKinds
 	BatchShare  float64  `toml:"batch"` // of rolling restarts and deploys: share restarted at a time
 	Downtime    Duration `toml:"down"`  // of restarts: until a process starts again
-	Mode        string   `toml:"by"`    // of proxy-waves: term, kill, upgrade, mixed; of proxy-signals: one of SignalSeries; of links: direction; of site-lost: what returns first
-	Name        string   `toml:"name"`  // of the tenant affected
-	ToZone      string   `toml:"to"`    // of link faults: the other zone; empty: all others
+	// Mode is, of proxy-waves, the way of the restarts (term, kill, upgrade, mixed); of proxy-signals, one of SignalSeries; of link faults,
+	// the direction (both, in, out); of site-lost, what returns first (caches, proxies, together).
+	Mode   string `toml:"by"`
+	Name   string `toml:"name"` // of the tenant affected
+	ToZone string `toml:"to"`   // of link faults: the other zone; empty: all others
 
 	LosesOrigin bool `toml:"origin"` // of site-lost: the origin is at that site and is lost with it
 	NewIDs      bool `toml:"anew"`   // of site-lost: its caches return under new ids
@@ -198,14 +200,49 @@
 
 // FaultKinds maps each kind of fault to the meaning of its Size; empty: it has none.
 var FaultKinds = map[string]string{
-	"kill": "", "replace": "", "drain": "", "deploy": "", "still": "", "vanish": "", "reset": "",
-	"slow": "slowdown factor", "refuse": "share of requests refused", "spoil": "share of answers corrupted",
-	"lose": "share of answers dropped", "error": "share of pushes that fail at once", "flush": "share of stored keys removed",
-	"hot-key": "share of the load", "runaway": "factor on the tenant's load", "hot-proxy": "share of the load", "grow": "number of new caches",
-	"origin-slow": "slowdown factor", "origin-stop": "", "list-late": "additional seconds", "list-silent": "", "list-empty": "", "list-lies": "",
-	"site-lost": "", "site-cut": "", "site-hand": "", "stall": "", "throttle": "share of the time that a process runs", "retune": "factor on the tenants' quotas",
-	"way-slow": "additional seconds", "way-lose": "share of new connections that carry no data", "way-reset": "share of connections reset", "way-thin": "KB per second of each connection",
-	"proxy-kill": "", "proxy-signals": "", "crowd": "idle connections to each proxy", "proxy-term": "", "proxy-roll": "", "proxy-upgrade": "", "proxy-waves": "", "hand": "", "lameduck": "", "impatient": "factor on the try time-out",
+	"kill":          "",
+	"replace":       "",
+	"drain":         "",
+	"deploy":        "",
+	"still":         "",
+	"vanish":        "",
+	"reset":         "",
+	"slow":          "slowdown factor",
+	"refuse":        "share of requests refused",
+	"spoil":         "share of answers corrupted",
+	"lose":          "share of answers dropped",
+	"error":         "share of pushes that fail at once",
+	"flush":         "share of stored keys removed",
+	"hot-key":       "share of the load",
+	"runaway":       "factor on the tenant's load",
+	"hot-proxy":     "share of the load",
+	"grow":          "number of new caches",
+	"origin-slow":   "slowdown factor",
+	"origin-stop":   "",
+	"list-late":     "additional seconds",
+	"list-silent":   "",
+	"list-empty":    "",
+	"list-lies":     "",
+	"site-lost":     "",
+	"site-cut":      "",
+	"site-hand":     "",
+	"stall":         "",
+	"throttle":      "share of the time that a process runs",
+	"retune":        "factor on the tenants' quotas",
+	"way-slow":      "additional seconds",
+	"way-lose":      "share of new connections that carry no data",
+	"way-reset":     "share of connections reset",
+	"way-thin":      "KB per second of each connection",
+	"proxy-kill":    "",
+	"proxy-signals": "",
+	"crowd":         "idle connections to each proxy",
+	"proxy-term":    "",
+	"proxy-roll":    "",
+	"proxy-upgrade": "",
+	"proxy-waves":   "",
+	"hand":          "",
+	"lameduck":      "",
+	"impatient":     "factor on the try time-out",
 }
 
 // SignalSeries are the series of signals that a proxy can be sent; each ends its process.
--- a/lab/experiment/soak.go
+++ b/lab/experiment/soak.go
@@ -179,7 +179,8 @@
 
 // drawPlatformFault draws a fault of caches, of the list of caches, of the origin or of the load.
 func (d soakGenerator) drawPlatformFault(fault *Fault) {
-	fault.Kind = d.choose("deploy", "deploy", "kill", "drain", "reset", "lose", "slow", "list-silent", "list-late", "hot-key", "still", "error", "origin-slow")
+	fault.Kind = d.choose("deploy", "deploy", "kill", "drain", "reset", "lose", "slow",
+		"list-silent", "list-late", "hot-key", "still", "error", "origin-slow")
 	switch fault.Kind {
 	case "deploy":
 		fault.Share = d.uniform(0.3, 0.9)
--- a/lab/experiment/timeline.go
+++ b/lab/experiment/timeline.go
@@ -21,7 +21,8 @@
 		offset := time.Duration(random.Float64() * float64(window) * 2 / 3)
 		length := time.Duration((0.3 + 0.7*random.Float64()) * float64(window-offset) / 2)
 		fault := Fault{Start: Duration(from + offset), Duration: Duration(length.Round(time.Millisecond))}
-		fault.Kind = choose("site-lost", "site-lost", "site-cut", "site-cut", "way-slow", "way-lose", "way-reset", "stall", "kill", "drain", "proxy-kill", "deploy", "list-late", "origin-stop")
+		fault.Kind = choose("site-lost", "site-lost", "site-cut", "site-cut", "way-slow", "way-lose", "way-reset",
+			"stall", "kill", "drain", "proxy-kill", "deploy", "list-late", "origin-stop")
 		switch fault.Kind {
 		case "site-lost":
 			fault.Zone = zone()
--- a/lab/run/plan.go
+++ b/lab/run/plan.go
@@ -40,11 +40,12 @@
 			hitShare *= 1 - c.Share
 		}
 	}
-	fmt.Fprintf(&text, "# %s, as input of minttray plan\n[keys]\ncount = %d\nzipf = %v\nflat = %d\nhits = %.4f\n\n", exp.Name, exp.Keys.Count, exp.Keys.ZipfExponent, zipfOffset,
-		hitShare)
-	fmt.Fprintf(&text, "[origin]\nsite = %q\nfetches = %.1f\nmiss_work = 0.125\n\n", exp.Zones.Names[0], float64(exp.Origin.Cores)/exp.Origin.Work.Std().Seconds())
-	fmt.Fprintf(&text, "[cold]\nfrom = %v\nwarm_up = %q\nfall_multiple = %v\ntip_after = %q\n\n", exp.Caches.ColdCapacityShare, exp.Caches.WarmUp.Std(), exp.Rules.OverloadFactor,
-		exp.Rules.OverloadWindow.Std())
+	fmt.Fprintf(&text, "# %s, as input of minttray plan\n[keys]\ncount = %d\nzipf = %v\nflat = %d\nhits = %.4f\n\n",
+		exp.Name, exp.Keys.Count, exp.Keys.ZipfExponent, zipfOffset, hitShare)
+	fmt.Fprintf(&text, "[origin]\nsite = %q\nfetches = %.1f\nmiss_work = 0.125\n\n",
+		exp.Zones.Names[0], float64(exp.Origin.Cores)/exp.Origin.Work.Std().Seconds())
+	fmt.Fprintf(&text, "[cold]\nfrom = %v\nwarm_up = %q\nfall_multiple = %v\ntip_after = %q\n\n",
+		exp.Caches.ColdCapacityShare, exp.Caches.WarmUp.Std(), exp.Rules.OverloadFactor, exp.Rules.OverloadWindow.Std())
 	proxies := make([]int, len(exp.Zones.Names))
 	for n := range exp.Proxies.Count {
 		proxies[exp.ZoneOfProxy(n)]++
@@ -53,10 +54,12 @@
 		fmt.Fprintf(&text, "[[site]]\nname = %q\nops = %.1f\nproxies = %d\n\n", name, exp.Load.Rate/float64(len(exp.Zones.Names)), proxies[i])
 	}
 	for n := range exp.Caches.Count {
-		fmt.Fprintf(&text, "[[cache]]\nname = \"cache-%d\"\nsite = %q\ncores = %d\nkeys = %.0f\n\n", n+1, exp.Zones.Names[n%len(exp.Zones.Names)], exp.Caches.Cores, keysPerCache)
+		fmt.Fprintf(&text, "[[cache]]\nname = \"cache-%d\"\nsite = %q\ncores = %d\nkeys = %.0f\n\n",
+			n+1, exp.Zones.Names[n%len(exp.Zones.Names)], exp.Caches.Cores, keysPerCache)
 	}
 	for _, c := range exp.Categories {
-		fmt.Fprintf(&text, "[[category]]\nname = %q\nshare = %v\nbenefit = %v\nwork = %q\nwrite = %v\n\n", c.Name, c.Share, c.Benefit, c.Work.Std(), c.Write)
+		fmt.Fprintf(&text, "[[category]]\nname = %q\nshare = %v\nbenefit = %v\nwork = %q\nwrite = %v\n\n",
+			c.Name, c.Share, c.Benefit, c.Work.Std(), c.Write)
 	}
 	return text.String()
 }
@@ -109,7 +112,8 @@
 				served = plannedPhase.Served/sites + plans[loss].Phases[phase].Served*(1-1/sites)
 				fetchesPlanned = min(plannedPhase.Asked.Fetches, plannedPhase.Has.Fetches) + plans[loss].Phases[phase].Asked.Fetches*(1-1/sites)
 			}
-			fmt.Fprintf(table, "%s %s\t%s\t%.3f\t%.3f\t%.0f\t%.0f\n", f.Kind, f.Zone, plannedPhase.Name, served, inTime/max(requested, 1), fetchesPlanned, fetches/max(seconds, 1))
+			fmt.Fprintf(table, "%s %s\t%s\t%.3f\t%.3f\t%.0f\t%.0f\n",
+				f.Kind, f.Zone, plannedPhase.Name, served, inTime/max(requested, 1), fetchesPlanned, fetches/max(seconds, 1))
 		}
 	}
 	return table.Flush()
--- a/lab/run/run.go
+++ b/lab/run/run.go
@@ -131,11 +131,13 @@
 	}
 	result.Crashes = proxies.crashReports()
 	if result.Stats.SentWithin5ms < minPunctualShare {
-		result.InvalidReasons = append(result.InvalidReasons, fmt.Sprintf("the lab ran late: %.1f%% of the ops were sent within %v of their time, %.0f%% are wanted",
+		result.InvalidReasons = append(result.InvalidReasons, fmt.Sprintf(
+			"the lab ran late: %.1f%% of the ops were sent within %v of their time, %.0f%% are wanted",
 			100*result.Stats.SentWithin5ms, maxSendDelay, 100*minPunctualShare))
 	}
 	if result.StandInLateShare = w.LateWorkShare(); result.StandInLateShare > 1-minPunctualShare {
-		result.InvalidReasons = append(result.InvalidReasons, fmt.Sprintf("stand-ins stalled: %.1f%% of their work ended over %v late", 100*result.StandInLateShare, maxSendDelay))
+		result.InvalidReasons = append(result.InvalidReasons, fmt.Sprintf(
+			"stand-ins stalled: %.1f%% of their work ended over %v late", 100*result.StandInLateShare, maxSendDelay))
 	}
 	if result.Stats.UnsentOps > 0 {
 		result.InvalidReasons = append(result.InvalidReasons, fmt.Sprintf("%d ops could not be sent: too many were out", result.Stats.UnsentOps))
--- a/lab/run/run_test.go
+++ b/lab/run/run_test.go
@@ -154,7 +154,8 @@
 		t.Errorf("%d proxies were stopped, want 2", stalls)
 	}
 	if v.DeadlinesChecked != v.Pushes || v.Pushes < v.Ops+200 || r.OriginFetches < 200 {
-		t.Errorf("%d deadlines checked of %d attempts for %d tries, %d fetches: not all checked, or too few", v.DeadlinesChecked, v.Pushes, v.Ops, r.OriginFetches)
+		t.Errorf("%d deadlines checked of %d attempts for %d tries, %d fetches: not all checked, or too few",
+			v.DeadlinesChecked, v.Pushes, v.Ops, r.OriginFetches)
 	}
 }
 
@@ -177,7 +178,12 @@
 		// Compare the proxies' counters with the ledger where no proxy was replaced. Answers to clients that had left may be counted too.
 		if n := r.ProxyCounters; name == "lameduck-short" {
 			unanswered := int64(v.ClientsLeft + v.Answers["crossed"])
-			for counter, answers := range map[string]int{"svc_served": v.Answers["acked"], "svc_refused": v.Answers["nacked"], "svc_failed": v.Answers["dead-lettered"]} {
+			answersByCounter := map[string]int{
+				"svc_served":  v.Answers["acked"],
+				"svc_refused": v.Answers["nacked"],
+				"svc_failed":  v.Answers["dead-lettered"],
+			}
+			for counter, answers := range answersByCounter {
 				if n[counter] < int64(answers) || n[counter] > int64(answers)+unanswered {
 					t.Errorf("%s is %d, but clients received %d answers and %d may have missed one", counter, n[counter], answers, unanswered)
 				}
@@ -248,7 +254,13 @@
 			close(stop)
 		}
 	}
-	r, err := Execute(x, Options{Logf: logf, Dir: t.TempDir(), Command: []string{buildProgram(t, "mintbase")}, Env: []string{"MINTBASE_RULE=rendezvous"}, Stop: stop})
+	r, err := Execute(x, Options{
+		Logf:    logf,
+		Dir:     t.TempDir(),
+		Command: []string{buildProgram(t, "mintbase")},
+		Env:     []string{"MINTBASE_RULE=rendezvous"},
+		Stop:    stop,
+	})
 	if err != nil || r.ExitStatus() != 3 || r.Verdict.Complete || !r.Verdict.Passed() || r.Verdict.Ops == 0 {
 		t.Errorf("%v, %+v", err, r)
 	}
--- a/lab/run/sites_test.go
+++ b/lab/run/sites_test.go
@@ -36,7 +36,8 @@
 			if sum < v.Ops || sum > v.Ops+v.StalledOps { // an op of a stopped proxy may have been answered too
 				t.Errorf("%d tries but %d ends: %+v", v.Ops, sum, v)
 			}
-			if n := r.ProxyCounters; name == "site-by-hand" && (n["svc_sites_out"] != 0 || n["svc_site_cache_nodes_out"] != 0 || n["unanswered"] != 0 || v.KilledOps > 0) {
+			if n := r.ProxyCounters; name == "site-by-hand" &&
+				(n["svc_sites_out"] != 0 || n["svc_site_cache_nodes_out"] != 0 || n["unanswered"] != 0 || v.KilledOps > 0) {
 				t.Errorf("sites still detached, a proxy unreachable or ops lost: %v, %d ops lost with their process", n, v.KilledOps)
 			}
 			if name == "stalls" && v.StalledOps == 0 {
@@ -60,12 +61,13 @@
 		file      string
 		overrides []string
 	}{
-		"seats at once": {"rendezvous", ledger.RuleColdOverload, "site-lost-short", []string{"caches.cold_from=0.05", "caches.warm_up=8s", "rules.fall_multiple=1", "load.rate=900"}},
-		"sent on":       {"reckless", ledger.RuleDuplicateEffect, "site-cut-short", []string{"caches.mode=\"through\"", "load.rate=600"}},
-		"for nobody":    {baseline.IgnoresClientClose, ledger.RulePushAfterClientLeft, "smoke", patientClients},
-		"drops read":    {baseline.ClosesAfterRead, ledger.RuleAnswerLost, "smoke", nil},
-		"drops answer":  {baseline.ClosesBeforeReply, ledger.RuleAnswerLost, "smoke", nil},
-		"own deadline":  {baseline.ForwardsClientDeadline, ledger.RuleDeadline, "smoke", patientClients},
+		"seats at once": {"rendezvous", ledger.RuleColdOverload, "site-lost-short",
+			[]string{"caches.cold_from=0.05", "caches.warm_up=8s", "rules.fall_multiple=1", "load.rate=900"}},
+		"sent on":      {"reckless", ledger.RuleDuplicateEffect, "site-cut-short", []string{"caches.mode=\"through\"", "load.rate=600"}},
+		"for nobody":   {baseline.IgnoresClientClose, ledger.RulePushAfterClientLeft, "smoke", patientClients},
+		"drops read":   {baseline.ClosesAfterRead, ledger.RuleAnswerLost, "smoke", nil},
+		"drops answer": {baseline.ClosesBeforeReply, ledger.RuleAnswerLost, "smoke", nil},
+		"own deadline": {baseline.ForwardsClientDeadline, ledger.RuleDeadline, "smoke", patientClients},
 	} {
 		for _, rule := range []string{c.rule, "minttray"} {
 			t.Run(name+", "+rule, func(t *testing.T) {
@@ -77,7 +79,8 @@
 				if name == "sent on" {
 					x.Categories[0].Share, x.Categories[2].Share = x.Categories[2].Share, x.Categories[0].Share
 					for n := range 20 {
-						x.Faults = append(x.Faults, experiment.Fault{Kind: "reset", Zone: "b", Start: experiment.Duration(time.Duration(n+1) * 500 * time.Millisecond)})
+						start := time.Duration(n+1) * 500 * time.Millisecond
+						x.Faults = append(x.Faults, experiment.Fault{Kind: "reset", Zone: "b", Start: experiment.Duration(start)})
 					}
 				}
 				if name == "for nobody" || name == "own deadline" { // long deadlines, with clients that leave early
--- a/lab/run/soak.go
+++ b/lab/run/soak.go
@@ -84,7 +84,8 @@
 		}
 		kinds = append(kinds, kind)
 	}
-	prefix := fmt.Sprintf("| %d | %d | %d | %s | %s |", r.Seed, r.Experiment.Proxies.Count, r.Experiment.Caches.Count, strings.Join(ttls, " "), strings.Join(kinds, ", "))
+	prefix := fmt.Sprintf("| %d | %d | %d | %s | %s |",
+		r.Seed, r.Experiment.Proxies.Count, r.Experiment.Caches.Count, strings.Join(ttls, " "), strings.Join(kinds, ", "))
 	if r.Err != nil {
 		return fmt.Sprintf("%s not run: %v |||||", prefix, r.Err)
 	}
--- a/lab/world/cache.go
+++ b/lab/world/cache.go
@@ -77,6 +77,9 @@
 	done       chan struct{} // closed by cleanUp
 }
 
+// milliCores is the unit of capacity in the ledger, per core.
+const milliCores = 1000
+
 // maxPipelined is the number of commands on one connection that may wait for their answers.
 const maxPipelined = 64
 
@@ -154,7 +157,13 @@
 	if cold {
 		coldStart = 1
 	}
-	c.world.Ledger.Append(ledger.Record{Kind: ledger.ServerStarted, At: c.world.Now(), A: c.Number, B: uint32(1000 * c.queue.cores), C: coldStart})
+	c.world.Ledger.Append(ledger.Record{
+		Kind: ledger.ServerStarted,
+		At:   c.world.Now(),
+		A:    c.Number,
+		B:    uint32(milliCores * c.queue.cores),
+		C:    coldStart,
+	})
 	c.world.Registry.publishState(c, ledger.StateActive)
 	return nil
 }
@@ -337,7 +346,14 @@
 		}
 	}
 	for op := range openPushes {
-		k.cache.world.Ledger.Append(ledger.Record{Kind: ledger.PushEnded, At: k.cache.world.Now(), Op: op, A: k.cache.Number, B: k.number, C: ledger.EndConnLost})
+		k.cache.world.Ledger.Append(ledger.Record{
+			Kind: ledger.PushEnded,
+			At:   k.cache.world.Now(),
+			Op:   op,
+			A:    k.cache.Number,
+			B:    k.number,
+			C:    ledger.EndConnLost,
+		})
 	}
 }
 
@@ -350,7 +366,14 @@
 		delete(k.openPushes, op)
 		k.mu.Unlock()
 		if open {
-			k.cache.world.Ledger.Append(ledger.Record{Kind: ledger.PushEnded, At: k.cache.world.Now(), Op: op, A: k.cache.Number, B: k.number, C: outcome})
+			k.cache.world.Ledger.Append(ledger.Record{
+				Kind: ledger.PushEnded,
+				At:   k.cache.world.Now(),
+				Op:   op,
+				A:    k.cache.Number,
+				B:    k.number,
+				C:    outcome,
+			})
 			answer <- []byte(text)
 		}
 	}
--- a/lab/world/serve.go
+++ b/lab/world/serve.go
@@ -53,7 +53,13 @@
 	cn.mu.Lock()
 	cn.openPushes[req.op] = true
 	cn.mu.Unlock()
-	c.world.recordPush(ledger.Record{At: c.world.sentAt(cn.netConn), Op: req.op, A: c.Number, B: cn.number, C: uint32(work / time.Microsecond)}, props)
+	c.world.recordPush(ledger.Record{
+		At: c.world.sentAt(cn.netConn),
+		Op: req.op,
+		A:  c.Number,
+		B:  cn.number,
+		C:  uint32(work / time.Microsecond),
+	}, props)
 	delay := c.world.zoneDelay(cn.zone, c.Zone)
 	if delay > 0 {
 		time.AfterFunc(delay, func() { c.startRequest(req, work) })
@@ -67,7 +73,14 @@
 	_, refuse, _, dropAnswer, fail, unresponsive := c.Faults.snapshot()
 	switch {
 	case unresponsive || c.world.random(req.op, c.Number, "lose") < dropAnswer:
-		c.world.Ledger.Append(ledger.Record{Kind: ledger.PushEnded, At: c.world.Now(), Op: req.op, A: c.Number, B: req.conn.number, C: ledger.EndUnanswered})
+		c.world.Ledger.Append(ledger.Record{
+			Kind: ledger.PushEnded,
+			At:   c.world.Now(),
+			Op:   req.op,
+			A:    c.Number,
+			B:    req.conn.number,
+			C:    ledger.EndUnanswered,
+		})
 		req.conn.mu.Lock()
 		delete(req.conn.openPushes, req.op) // no answer ever comes, while the connection stays open
 		req.conn.mu.Unlock()
--- a/lab/world/world_test.go
+++ b/lab/world/world_test.go
@@ -28,18 +28,18 @@
 		t.Fatal(err)
 	}
 	path := filepath.Join(t.TempDir(), "ledger")
-	book, err := ledger.Create(path)
+	writer, err := ledger.Create(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if w, err = New(exp, book); err != nil {
+	if w, err = New(exp, writer); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(w.Close)
 	return w, func() (records []ledger.Record) {
 		w.Close()
 		time.Sleep(50 * time.Millisecond) // the reader of each connection records its end
-		book.Close()
+		writer.Close()
 		in, _ := os.Open(path)
 		defer in.Close()
 		ledger.Read(in, func(r ledger.Record) { records = append(records, r) })
@@ -179,16 +179,16 @@
 	waitFor(t, "the agent has received the change", func() bool { return a.List()["generation"].(uint64) > first.Generation })
 	before := w.Now()
 	next := list(fmt.Sprintf("?index=%d&wait=5000", first.Generation))
-	cycles := func(all []instance) (states string) {
+	lifecyclesOf := func(all []instance) (states string) {
 		for _, i := range all {
 			states += i.Lifecycle + " "
 		}
 		return states
 	}
-	if got := cycles(next.Instances); got != "leaving " { // a watch returns changed entries alone
+	if got := lifecyclesOf(next.Instances); got != "leaving " { // a watch returns changed entries alone
 		t.Errorf("%q", got)
 	}
-	if got := cycles(list("").Instances); got != "leaving active active " {
+	if got := lifecyclesOf(list("").Instances); got != "leaving active active " {
 		t.Errorf("%q", got)
 	}
 	a.SetFault(true, false, 0)
