--- a/lab/run/fleet.go
+++ b/lab/run/fleet.go
@@ -53,7 +53,7 @@
 	agents          []*world.Agent
 	processes       []*process     // the last one of each proxy
 	lastIncarnation uint32         // last number given; incarnations count from 1
-	siteDetachedAt  map[int]uint32 // by proxy: the incarnation that was told that a site is detached
+	siteDetachedAt  map[int]uint32 // by proxy: incarnation at which a site was detached; holds one site-hand fault at a time, not guarded by mu
 	crashes         []string       // descriptions of processes that ended by themselves
 }
 
--- a/lab/run/run.go
+++ b/lab/run/run.go
@@ -51,18 +51,18 @@
 	}
 	defer w.Close()
 	prefillCaches(exp, w)
-	proxies, err := newFleet(exp, w, options.Dir, options.Command, options.Env)
-	defer proxies.stopAll()
+	proxyFleet, err := newFleet(exp, w, options.Dir, options.Command, options.Env)
+	defer proxyFleet.stopAll()
 	if err != nil {
 		return nil, err
 	}
 	time.Sleep(settleTime)
 	meter := measure.NewMeter(exp)
-	balancer := load.NewBalancer(exp, proxies.proxies)
+	balancer := load.NewBalancer(exp, proxyFleet.proxies)
 	balancer.Links = w.Links
 	generator := load.NewGenerator(exp, balancer, writer, meter, w.Start())
 	start := w.Now()
-	player := faults.New(w, proxies, start, options.Stop)
+	player := faults.New(w, proxyFleet, start, options.Stop)
 	faultsDone := make(chan struct{})
 	go func() {
 		player.Run()
@@ -72,7 +72,7 @@
 	loadDone := make(chan struct{})
 	var peak measure.Usage
 	go func() {
-		peak = sampleEverySecond(w, proxies, balancer, meter, start, loadDone, options.Logf)
+		peak = sampleEverySecond(w, proxyFleet, balancer, meter, start, loadDone, options.Logf)
 		close(samplerDone)
 	}()
 	generator.Run(start, options.Stop)
@@ -92,8 +92,8 @@
 		case <-time.After(stopTimeout + exp.Length.Std()):
 		}
 	}
-	counters := proxies.counters()
-	proxies.stopAll()
+	counters := proxyFleet.counters()
+	proxyFleet.stopAll()
 	if !interrupted {
 		writer.Append(ledger.Record{Kind: ledger.RunFinished, At: w.Now()})
 	}
@@ -129,7 +129,7 @@
 	for _, e := range errs {
 		result.InvalidReasons = append(result.InvalidReasons, "a fault could not be played: "+e.Error())
 	}
-	result.Crashes = proxies.crashReports()
+	result.Crashes = proxyFleet.crashReports()
 	if result.Stats.SentWithin5ms < minPunctualShare {
 		result.InvalidReasons = append(result.InvalidReasons, fmt.Sprintf(
 			"the lab ran late: %.1f%% of the ops were sent within %v of their time, %.0f%% are wanted",
@@ -206,13 +206,13 @@
 
 // sampleEverySecond adds samples of the stand-ins and the proxies to the meter until loadDone is closed, and returns the peak usage of a
 // proxy and the CPU seconds of all.
-func sampleEverySecond(w *world.World, proxies *fleet, balancer *load.Balancer, meter *measure.Meter, start time.Duration,
+func sampleEverySecond(w *world.World, proxyFleet *fleet, balancer *load.Balancer, meter *measure.Meter, start time.Duration,
 	loadDone <-chan struct{}, logf func(string, ...any)) (peak measure.Usage) {
 	ticker := time.NewTicker(time.Second)
 	defer ticker.Stop()
 	fetches := w.Origin.Fetches.Load()
 	opened := balancer.ConnsOpened.Load()
-	previous := proxies.processUsage()
+	previous := proxyFleet.processUsage()
 	for {
 		select {
 		case <-loadDone:
@@ -222,7 +222,7 @@
 		elapsed := w.Now() - start - time.Second/2 // middle of the sampled second
 		cpu, memory := 0.0, 0.0                    // CPU seconds, MB
 		conns, queued := 0, 0
-		usage := proxies.processUsage()
+		usage := proxyFleet.processUsage()
 		for i, u := range usage {
 			if u.CPU >= previous[i].CPU {
 				cpu += u.CPU - previous[i].CPU
