--- a/lab/ways/conn.go
+++ b/lab/ways/conn.go
@@ -9,236 +9,248 @@
 )
 
 const (
-	piece    = 16 << 10
-	mostHeld = 64 // pieces on their way in each direction; the sender waits for more
+	chunkSize = 16 << 10 // bytes read at once
+	maxChunks = 64       // chunks in transit in each direction, before a writer blocks
 )
 
-// Conn is the lab's end of a connection: what comes and goes passes the ways between far and near.
+// Conn is the laboratory's end of a connection. Its data is subject to the rules between the two endpoints.
 type Conn struct {
 	net.Conn
-	t         *RuleTable
-	far, near Endpoint
-	mute      bool // it came up, and never says or hears anything
-	in, out   pipe
-	over      chan struct{}
-	once      sync.Once
-	ended     chan struct{}
-	broke     error // why nothing more comes, once that is closed
+	rules     *RuleTable
+	remote    Endpoint
+	local     Endpoint
+	silent    bool // carries no data in either direction
+	inbound   direction
+	outbound  direction
+	closed    chan struct{} // closed by Close
+	closeOnce sync.Once
+	readEnded chan struct{} // closed when the underlying connection has ended
+	readErr   error         // why it has ended; valid once readEnded is closed
 }
 
-type held struct {
-	data []byte
-	at   time.Time // when it was sent
-	out  time.Time // when a thinned way has let it through
+// chunk is data in transit.
+type chunk struct {
+	data       []byte
+	sentAt     time.Time
+	releasedAt time.Time // when the bandwidth limit lets it pass; zero: no limit applied yet
 }
 
-// pipe is one direction.
-type pipe struct {
-	queue chan held
-	next  *held      // that was taken off the queue
-	rest  []byte     // of a piece that was read in part
-	mu    sync.Mutex // guards what follows, but for free
-	sent  time.Time
-	free  time.Time // a thinned way is busy until then
-	until time.Time // a reader's deadline
-	wake  chan struct{}
+// direction is the state of one direction of a connection.
+type direction struct {
+	queue           chan chunk
+	current         *chunk        // taken off the queue and still in transit
+	rest            []byte        // unread part of a delivered chunk
+	busyUntil       time.Time     // until when the bandwidth limit is used up; not guarded by mu
+	mu              sync.Mutex    // guards the fields below
+	sentAt          time.Time     // of the last delivered chunk
+	readDeadline    time.Time     // zero: none
+	deadlineChanged chan struct{} // closed and replaced when readDeadline changes
 }
 
-// Through has a connection pass the ways between its two ends.
-func (t *RuleTable) Through(c net.Conn, far, near Endpoint) *Conn {
-	there, _ := t.is(far, near)
-	k := &Conn{Conn: c, t: t, far: far, near: near, mute: t.draw(there.Lose), over: make(chan struct{}), ended: make(chan struct{})}
-	for _, p := range []*pipe{&k.in, &k.out} {
-		p.queue, p.wake = make(chan held, mostHeld), make(chan struct{})
+// Wrap applies the rules between two endpoints to a connection.
+func (t *RuleTable) Wrap(c net.Conn, remote, local Endpoint) *Conn {
+	inboundRule, _ := t.effective(remote, local)
+	k := &Conn{
+		Conn:      c,
+		rules:     t,
+		remote:    remote,
+		local:     local,
+		silent:    t.draw(inboundRule.SilentShare),
+		closed:    make(chan struct{}),
+		readEnded: make(chan struct{}),
 	}
-	t.follow(k, true)
+	for _, d := range []*direction{&k.inbound, &k.outbound} {
+		d.queue, d.deadlineChanged = make(chan chunk, maxChunks), make(chan struct{})
+	}
+	t.subscribe(k, true)
 	go k.receive()
 	go k.send()
 	return k
 }
 
-// receive takes bytes off as they come, whatever the way does with them: their time is when they were sent.
+// receive reads data as it arrives, whatever the rules say, so that sentAt is the time at which the peer sent it.
 func (k *Conn) receive() {
-	defer close(k.in.queue)
+	defer close(k.inbound.queue)
 	for {
-		data := make([]byte, piece)
+		data := make([]byte, chunkSize)
 		n, err := k.Conn.Read(data)
-		if n > 0 && !k.mute {
+		if n > 0 && !k.silent {
 			select {
-			case k.in.queue <- held{data: data[:n], at: time.Now()}:
-			case <-k.over:
+			case k.inbound.queue <- chunk{data: data[:n], sentAt: time.Now()}:
+			case <-k.closed:
 				return
 			}
 		}
 		if err != nil {
-			k.broke = err
-			close(k.ended)
+			k.readErr = err
+			close(k.readEnded)
 			return
 		}
 	}
 }
 
-// wait is how long a piece stays on its way from now on; 0: it is out. cut: until the rules change, which they do by what
-// closes changed.
-func (k *Conn) wait(p *pipe, from, to Endpoint, h *held) (left time.Duration, cut bool, changed <-chan struct{}) {
-	is, changed := k.t.is(from, to)
-	if is.Cut {
+// transitDelay returns how much longer a chunk is in transit; 0: it has arrived. cut means that it stays in transit until the rules
+// change, when changed is closed.
+func (k *Conn) transitDelay(d *direction, from, to Endpoint, c *chunk) (remaining time.Duration, cut bool, changed <-chan struct{}) {
+	rule, changed := k.rules.effective(from, to)
+	if rule.Cut {
 		return 0, true, changed
 	}
-	due := h.at.Add(is.Delay)
-	if is.Rate > 0 && h.out.IsZero() {
-		if p.free.Before(due) {
-			p.free = due
+	due := c.sentAt.Add(rule.Delay)
+	if rule.BytesPerSecond > 0 && c.releasedAt.IsZero() {
+		if d.busyUntil.Before(due) {
+			d.busyUntil = due
 		}
-		p.free = p.free.Add(time.Duration(float64(len(h.data)) / is.Rate * float64(time.Second)))
-		h.out = p.free
+		d.busyUntil = d.busyUntil.Add(time.Duration(float64(len(c.data)) / rule.BytesPerSecond * float64(time.Second)))
+		c.releasedAt = d.busyUntil
 	}
-	if due.Before(h.out) {
-		due = h.out
+	if due.Before(c.releasedAt) {
+		due = c.releasedAt
 	}
 	return max(time.Until(due), 0), false, changed
 }
 
-// Read gives what has come through; Sent tells when that was sent.
+// Read returns data that has passed the link. SentAt returns when the peer sent it.
 func (k *Conn) Read(b []byte) (int, error) {
-	p := &k.in
-	for len(p.rest) == 0 {
-		p.mu.Lock()
-		until, wake := p.until, p.wake
-		p.mu.Unlock()
-		var stop, out <-chan time.Time
-		var changed, ended <-chan struct{}
-		queue := p.queue
-		if !until.IsZero() {
-			stop = time.After(time.Until(until))
+	d := &k.inbound
+	for len(d.rest) == 0 {
+		d.mu.Lock()
+		deadline, deadlineChanged := d.readDeadline, d.deadlineChanged
+		d.mu.Unlock()
+		var timeout, released <-chan time.Time
+		var changed, senderClosed <-chan struct{}
+		queue := d.queue
+		if !deadline.IsZero() {
+			timeout = time.After(time.Until(deadline))
 		}
-		if p.next != nil {
-			left, cut, news := k.wait(p, k.far, k.near, p.next)
-			if left == 0 && !cut {
-				p.mu.Lock()
-				p.rest, p.sent, p.next = p.next.data, p.next.at, nil
-				p.mu.Unlock()
+		if d.current != nil {
+			remaining, cut, rulesChanged := k.transitDelay(d, k.remote, k.local, d.current)
+			if remaining == 0 && !cut {
+				d.mu.Lock()
+				d.rest, d.sentAt, d.current = d.current.data, d.current.sentAt, nil
+				d.mu.Unlock()
 				continue
 			}
-			if queue, changed = nil, news; cut {
-				ended = k.ended // the sender has closed: what is still on a cut way never comes
+			if queue, changed = nil, rulesChanged; cut {
+				senderClosed = k.readEnded // data on a cut link is dropped when its sender closes the connection
 			} else {
-				out = time.After(left)
+				released = time.After(remaining)
 			}
 		}
 		select {
-		case h, more := <-queue:
+		case c, more := <-queue:
 			if !more {
-				return 0, k.broke
+				return 0, k.readErr
 			}
-			p.next = &h
-		case <-ended:
-			return 0, k.broke
-		case <-out:
+			d.current = &c
+		case <-senderClosed:
+			return 0, k.readErr
+		case <-released:
 		case <-changed:
-		case <-wake:
-		case <-stop:
+		case <-deadlineChanged:
+		case <-timeout:
 			return 0, os.ErrDeadlineExceeded
-		case <-k.over:
+		case <-k.closed:
 			return 0, net.ErrClosed
 		}
 	}
-	n := copy(b, p.rest)
-	p.rest = p.rest[n:]
+	n := copy(b, d.rest)
+	d.rest = d.rest[n:]
 	return n, nil
 }
 
-// Sent is when the bytes that were last read were sent.
-func (k *Conn) Sent() time.Time {
-	k.in.mu.Lock()
-	defer k.in.mu.Unlock()
-	return k.in.sent
+// SentAt returns when the peer sent the bytes that were last read.
+func (k *Conn) SentAt() time.Time {
+	k.inbound.mu.Lock()
+	defer k.inbound.mu.Unlock()
+	return k.inbound.sentAt
 }
 
-// SetReadDeadline and SetDeadline are those of a net.Conn, for reads; what is written is not waited for.
+// SetReadDeadline implements net.Conn.
 func (k *Conn) SetReadDeadline(at time.Time) error {
-	k.in.mu.Lock()
-	defer k.in.mu.Unlock()
-	k.in.until = at
-	close(k.in.wake)
-	k.in.wake = make(chan struct{})
+	k.inbound.mu.Lock()
+	defer k.inbound.mu.Unlock()
+	k.inbound.readDeadline = at
+	close(k.inbound.deadlineChanged)
+	k.inbound.deadlineChanged = make(chan struct{})
 	return nil
 }
 
+// SetDeadline sets the read deadline alone; see SetWriteDeadline.
 func (k *Conn) SetDeadline(at time.Time) error { return k.SetReadDeadline(at) }
 
-// SetWriteDeadline does nothing. Danger: it would end the connection under what is still on its way, and be taken for the other
-// side's doing.
+// SetWriteDeadline does nothing: a deadline on the underlying connection could expire while data is delayed by a rule, and the
+// time-out would be taken for a fault of the peer.
 func (k *Conn) SetWriteDeadline(time.Time) error { return nil }
 
-// Write sends on its way, and waits only if too much is on it.
+// Write queues data for the link. It blocks only while the link holds maxChunks chunks.
 func (k *Conn) Write(b []byte) (int, error) {
 	select {
-	case <-k.over:
+	case <-k.closed:
 		return 0, net.ErrClosed
 	default:
 	}
-	if k.mute {
+	if k.silent {
 		return len(b), nil
 	}
 	select {
-	case k.out.queue <- held{data: append([]byte(nil), b...), at: time.Now()}:
+	case k.outbound.queue <- chunk{data: append([]byte(nil), b...), sentAt: time.Now()}:
 		return len(b), nil
-	case <-k.over:
+	case <-k.closed:
 		return 0, net.ErrClosed
 	}
 }
 
-// send has what was written go out, also what was written before the end, unless the way is cut by then.
+// send writes queued data to the underlying connection, data queued before Close included, unless the link is cut then.
 func (k *Conn) send() {
 	defer k.Conn.Close()
-	for over := false; ; {
-		var h held
+	for closed := false; ; {
+		var c chunk
 		select {
-		case h = <-k.out.queue:
+		case c = <-k.outbound.queue:
 		default:
-			if over {
+			if closed {
 				return
 			}
 			select {
-			case h = <-k.out.queue:
-			case <-k.over:
-				over = true
+			case c = <-k.outbound.queue:
+			case <-k.closed:
+				closed = true
 				continue
 			}
 		}
 		for {
-			left, cut, changed := k.wait(&k.out, k.near, k.far, &h)
+			remaining, cut, changed := k.transitDelay(&k.outbound, k.local, k.remote, &c)
 			if cut {
 				select {
 				case <-changed:
-				case <-k.over:
+				case <-k.closed:
 					return
 				}
 				continue
 			}
-			if left == 0 {
+			if remaining == 0 {
 				break
 			}
-			time.Sleep(left)
+			time.Sleep(remaining)
 		}
-		if _, err := k.Conn.Write(h.data); err != nil {
+		if _, err := k.Conn.Write(c.data); err != nil {
 			k.Close()
 			return
 		}
 	}
 }
 
-// Close ends it; what is on its way still goes out.
+// Close closes the connection once the data in transit is written.
 func (k *Conn) Close() error {
-	k.once.Do(func() {
-		k.t.follow(k, false)
-		close(k.over)
+	k.closeOnce.Do(func() {
+		k.rules.subscribe(k, false)
+		close(k.closed)
 	})
 	return nil
 }
 
-// Abort ends it with a reset.
+// Abort closes the connection with a TCP reset, and drops the data in transit.
 func (k *Conn) Abort() {
 	if t, ok := k.Conn.(*net.TCPConn); ok {
 		t.SetLinger(0)
@@ -247,29 +259,29 @@
 	k.Close()
 }
 
-// ruled resets a share of the open connections as a rule says.
-func (k *Conn) ruled(put *Rule) {
-	if put != nil && put.Reset > 0 && (put.holds(k.far, k.near) || put.holds(k.near, k.far)) && k.t.draw(put.Reset) {
+// rulesChanged resets the connection with the probability that a new rule demands.
+func (k *Conn) rulesChanged(added *Rule) {
+	if added != nil && added.ResetShare > 0 && (added.matches(k.remote, k.local) || added.matches(k.local, k.remote)) && k.rules.draw(added.ResetShare) {
 		k.Abort()
 	}
 }
 
-// ErrCut is a handshake that did not come up.
-var ErrCut = errors.New("the way is cut")
+// ErrLinkCut is returned by Dial when the link was cut until the time-out.
+var ErrLinkCut = errors.New("link is cut")
 
-// Dial connects to another process, unless the way is cut for all the time that it may take.
-func (t *RuleTable) Dial(near, far Endpoint, addr string, patience time.Duration) (net.Conn, error) {
-	for late := time.After(patience); t.Cut(near, far); {
-		_, changed := t.is(near, far)
+// Dial connects to another process. While the link is cut it waits, up to the time-out.
+func (t *RuleTable) Dial(local, remote Endpoint, addr string, timeout time.Duration) (net.Conn, error) {
+	for expired := time.After(timeout); t.IsCut(local, remote); {
+		_, changed := t.effective(local, remote)
 		select {
 		case <-changed:
-		case <-late:
-			return nil, ErrCut
+		case <-expired:
+			return nil, ErrLinkCut
 		}
 	}
-	c, err := net.DialTimeout("tcp", addr, patience)
+	c, err := net.DialTimeout("tcp", addr, timeout)
 	if err != nil {
 		return nil, err
 	}
-	return t.Through(c, far, near), nil
+	return t.Wrap(c, remote, local), nil
 }
--- a/lab/ways/listen.go
+++ b/lab/ways/listen.go
@@ -9,109 +9,111 @@
 )
 
 const (
-	backlog   = 512
-	mostPlugs = 8
-	plugTime  = 20 * time.Millisecond // a handshake on loopback takes far less
+	acceptBacklog     = 512                   // handshakes that may wait to be accepted
+	maxFillerConns    = 8                     // connections opened to fill the accept queue
+	fillerDialTimeout = 20 * time.Millisecond // a handshake on loopback takes far less
+	synRetryPeriod    = 30 * time.Second      // after a cut, in which a kernel may still complete a handshake that was started during it
 )
 
-// Listener gives connections that pass the ways from far. While a way between the two is cut no handshake comes up: the
-// kernel drops the first packet of each when the queue of those to accept is full, so the listener makes that queue one
-// place long, fills it with connections of its own, and takes none off until the ways are whole again.
+// Listener accepts connections that are subject to the rules between two endpoints. While the link is cut no handshake may
+// complete. The kernel drops SYN packets when the accept queue is full, so the listener shortens that queue to one place, fills it
+// with connections of its own, and accepts none until the link is restored.
 type Listener struct {
 	*net.TCPListener
-	t         *RuleTable
-	far, near Endpoint
+	rules  *RuleTable
+	remote Endpoint
+	local  Endpoint
 
-	mu    sync.Mutex
-	shut  bool
-	whole time.Time // the ways were cut until then
-	plugs []net.Conn
-	over  chan struct{}
-	once  sync.Once
+	mu          sync.Mutex
+	blocked     bool       // the accept queue is filled
+	restoredAt  time.Time  // end of the last cut
+	fillerConns []net.Conn // open connections that fill the accept queue
+	closed      chan struct{}
+	closeOnce   sync.Once
 }
 
-// Listen opens a listener at a loopback address for connections from far to near.
-func (t *RuleTable) Listen(addr string, far, near Endpoint) (net.Listener, error) {
+// Listen opens a listener at a loopback address for connections from a remote endpoint to a local one.
+func (t *RuleTable) Listen(addr string, remote, local Endpoint) (net.Listener, error) {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	k := &Listener{TCPListener: l.(*net.TCPListener), t: t, far: far, near: near, over: make(chan struct{})}
-	t.follow(k, true)
-	k.ruled(nil)
+	k := &Listener{TCPListener: l.(*net.TCPListener), rules: t, remote: remote, local: local, closed: make(chan struct{})}
+	t.subscribe(k, true)
+	k.rulesChanged(nil)
 	return k, nil
 }
 
-// ruled shuts or opens the queue as the rules say now.
-func (l *Listener) ruled(*Rule) {
+// rulesChanged blocks or unblocks the accept queue according to the rules.
+func (l *Listener) rulesChanged(*Rule) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	cut := l.t.Cut(l.far, l.near)
-	if cut == l.shut {
+	cut := l.rules.IsCut(l.remote, l.local)
+	if cut == l.blocked {
 		return
 	}
-	if l.shut = cut; !cut {
-		l.whole = time.Now()
-		l.queue(backlog)
-		for _, p := range l.plugs {
+	if l.blocked = cut; !cut {
+		l.restoredAt = time.Now()
+		l.setBacklog(acceptBacklog)
+		for _, p := range l.fillerConns {
 			p.Close()
 		}
-		l.plugs = nil
+		l.fillerConns = nil
 		return
 	}
-	l.queue(0)
-	l.fill()
+	l.setBacklog(0)
+	l.fillBacklog()
 }
 
-// fill fills the queue; the mutex is held.
-func (l *Listener) fill() {
-	for range mostPlugs {
-		c, err := net.DialTimeout("tcp", l.Addr().String(), plugTime)
+// fillBacklog opens connections until the accept queue is full; the caller holds the mutex.
+func (l *Listener) fillBacklog() {
+	for range maxFillerConns {
+		c, err := net.DialTimeout("tcp", l.Addr().String(), fillerDialTimeout)
 		if err != nil {
 			return
 		}
-		l.plugs = append(l.plugs, c)
+		l.fillerConns = append(l.fillerConns, c)
 	}
 }
 
-// queue sets how many handshakes may wait to be accepted.
-func (l *Listener) queue(n int) {
+// setBacklog sets the length of the accept queue.
+func (l *Listener) setBacklog(n int) {
 	if raw, err := l.SyscallConn(); err == nil {
 		raw.Control(func(fd uintptr) { syscall.Listen(int(fd), n) })
 	}
 }
 
-// Accept waits for the next connection.
+// Accept waits for the next connection that the rules let through.
 func (l *Listener) Accept() (net.Conn, error) {
 	for {
 		c, err := l.TCPListener.Accept()
 		if err != nil {
 			return nil, err
 		}
-		waited := false
-		for l.t.Cut(l.far, l.near) { // one that fills the queue, or came up just before: it stays where it is
-			waited = true
-			_, changed := l.t.is(l.far, l.near)
+		held := false
+		for l.rules.IsCut(l.remote, l.local) { // a filler connection, or one completed just before the cut: hold it
+			held = true
+			_, changed := l.rules.effective(l.remote, l.local)
 			l.mu.Lock()
-			if l.shut { // it has left a place free
-				l.fill()
+			if l.blocked { // accepting it has freed a place in the queue
+				l.fillBacklog()
 			}
 			l.mu.Unlock()
 			select {
 			case <-changed:
-			case <-l.over:
+			case <-l.closed:
 				c.Close()
 				return nil, net.ErrClosed
 			}
 		}
-		// Danger: what a proxy wrote on a connection that stood in the queue, or on one that comes up when its kernel tries again,
-		// seconds after the cut, it may have long given up. Those that fill the queue are closed by then as well.
-		if (waited || l.lately()) && !open(c) {
+		// A proxy may have given up a connection that waited in the queue, or that completed when its kernel repeated the SYN seconds
+		// after the cut. Data written on it must not be read as if it were just sent. This also drops closed filler connections.
+		if (held || l.recentlyRestored()) && !remoteOpen(c) {
 			c.Close()
 			continue
 		}
-		k := l.t.Through(c, l.far, l.near)
-		if there, _ := l.t.is(l.far, l.near); l.t.draw(there.Reset) {
+		k := l.rules.Wrap(c, l.remote, l.local)
+		if inboundRule, _ := l.rules.effective(l.remote, l.local); l.rules.draw(inboundRule.ResetShare) {
 			k.Abort()
 			continue
 		}
@@ -119,40 +121,39 @@
 	}
 }
 
-const triedAgain = 30 * time.Second // by the kernel, after a cut
-
-func (l *Listener) lately() bool {
+// recentlyRestored reports whether handshakes that were started during a cut may still complete.
+func (l *Listener) recentlyRestored() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return time.Since(l.whole) < triedAgain
+	return time.Since(l.restoredAt) < synRetryPeriod
 }
 
-// open tells whether the process at the other end of a connection still holds it open, by asking the kernel for that one socket
-// (a table of all takes tens of milliseconds where there are many). What can't be told is taken for open.
-func open(c net.Conn) bool {
-	far, ok := c.RemoteAddr().(*net.TCPAddr)
-	near, _ := c.LocalAddr().(*net.TCPAddr)
-	if !ok || far.IP.To4() == nil {
+// remoteOpen reports whether the peer process still holds a connection open. It asks the kernel for that one socket, as listing all of
+// them takes tens of milliseconds where there are many. If the kernel gives no answer the connection counts as open.
+func remoteOpen(c net.Conn) bool {
+	remote, ok := c.RemoteAddr().(*net.TCPAddr)
+	local, _ := c.LocalAddr().(*net.TCPAddr)
+	if !ok || remote.IP.To4() == nil {
 		return true
 	}
-	fd, err := syscall.Socket(syscall.AF_NETLINK, syscall.SOCK_RAW|syscall.SOCK_CLOEXEC, inetDiag)
+	fd, err := syscall.Socket(syscall.AF_NETLINK, syscall.SOCK_RAW|syscall.SOCK_CLOEXEC, netlinkInetDiag)
 	if err != nil {
 		return true
 	}
 	defer syscall.Close(fd)
-	// A header (length, type, flags) and inet_diag_req_v2 of linux/inet_diag.h, for one socket without a cookie.
-	ask := make([]byte, 16+56)
-	binary.NativeEndian.PutUint32(ask, uint32(len(ask)))
-	binary.NativeEndian.PutUint16(ask[4:], byFamily)
-	binary.NativeEndian.PutUint16(ask[6:], syscall.NLM_F_REQUEST)
-	ask[16], ask[17] = syscall.AF_INET, syscall.IPPROTO_TCP
-	binary.NativeEndian.PutUint32(ask[20:], ^uint32(0))
-	binary.BigEndian.PutUint16(ask[24:], uint16(far.Port))
-	binary.BigEndian.PutUint16(ask[26:], uint16(near.Port))
-	copy(ask[28:], far.IP.To4())
-	copy(ask[44:], near.IP.To4())
-	binary.NativeEndian.PutUint64(ask[64:], ^uint64(0))
-	if syscall.Sendto(fd, ask, 0, &syscall.SockaddrNetlink{Family: syscall.AF_NETLINK}) != nil {
+	// A netlink header (length, type, flags) and an inet_diag_req_v2 of linux/inet_diag.h, for one socket without a cookie.
+	request := make([]byte, netlinkHeaderSize+inetDiagRequestSize)
+	binary.NativeEndian.PutUint32(request, uint32(len(request)))
+	binary.NativeEndian.PutUint16(request[4:], sockDiagByFamily)
+	binary.NativeEndian.PutUint16(request[6:], syscall.NLM_F_REQUEST)
+	request[16], request[17] = syscall.AF_INET, syscall.IPPROTO_TCP
+	binary.NativeEndian.PutUint32(request[20:], ^uint32(0))
+	binary.BigEndian.PutUint16(request[24:], uint16(remote.Port))
+	binary.BigEndian.PutUint16(request[26:], uint16(local.Port))
+	copy(request[28:], remote.IP.To4())
+	copy(request[44:], local.IP.To4())
+	binary.NativeEndian.PutUint64(request[64:], ^uint64(0))
+	if syscall.Sendto(fd, request, 0, &syscall.SockaddrNetlink{Family: syscall.AF_NETLINK}) != nil {
 		return true
 	}
 	answer := make([]byte, 4096)
@@ -160,26 +161,33 @@
 	switch {
 	case err != nil || n < 20:
 		return true
-	case binary.NativeEndian.Uint16(answer[4:]) == byFamily:
-		return answer[17] == established
-	default: // an error: there is none
+	case binary.NativeEndian.Uint16(answer[4:]) == sockDiagByFamily:
+		return answer[17] == tcpEstablished
+	default: // a netlink error: ENOENT means that there is no such socket
 		return syscall.Errno(-int32(binary.NativeEndian.Uint32(answer[16:]))) != syscall.ENOENT
 	}
 }
 
-const inetDiag, byFamily, established = 4, 20, 1 // of linux/netlink.h, sock_diag.h, tcp_states.h
+// Constants of the kernel's interface.
+const (
+	netlinkInetDiag     = 4  // NETLINK_INET_DIAG, linux/netlink.h
+	sockDiagByFamily    = 20 // SOCK_DIAG_BY_FAMILY, linux/sock_diag.h
+	tcpEstablished      = 1  // TCP_ESTABLISHED, net/tcp_states.h
+	netlinkHeaderSize   = 16 // struct nlmsghdr
+	inetDiagRequestSize = 56 // struct inet_diag_req_v2
+)
 
-// Close ends the listener.
+// Close closes the listener and its filler connections.
 func (l *Listener) Close() error {
-	l.once.Do(func() {
-		l.t.follow(l, false)
-		close(l.over)
+	l.closeOnce.Do(func() {
+		l.rules.subscribe(l, false)
+		close(l.closed)
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		for _, p := range l.plugs {
+		for _, p := range l.fillerConns {
 			p.Close()
 		}
-		l.plugs = nil
+		l.fillerConns = nil
 	})
 	return l.TCPListener.Close()
 }
--- a/lab/world/cache.go
+++ b/lab/world/cache.go
@@ -16,95 +16,109 @@
 
 // Cache is a stand-in for one cache server. It speaks RESP2: CACHE.GET and CACHE.SET as proxies send them.
 type Cache struct {
-	Number uint32
-	Name   string
-	Zone   int
-	Small  bool
-	Fault  Faults
-
-	w       *World
-	addrs   []string // by the door of who connects
-	station *station
-	store   *store
-
-	mu        sync.Mutex
-	alive     bool
-	listeners []net.Listener
-	conns     map[*link]bool
-	started   time.Duration // -1: long ago
-	report    string
-	reported  time.Time
-	Refused   atomic.Int64 // connections over its cap
-	followed  atomic.Bool  // another process has its address
+	Number uint32 // server number in the ledger, from 1
+	Name   string // id in the list of caches
+	Zone   int    // index of its zone
+	Small  bool   // of machine kind "small": half the cores
+	Faults Faults
+
+	world *World
+	addrs []string // by proxy group
+	queue *workQueue
+	store *valueStore
+
+	mu           sync.Mutex
+	alive        bool
+	listeners    []net.Listener
+	conns        map[*conn]bool
+	startedAt    time.Duration // on the run's clock; negative: fully warmed up before the run
+	loadReport   string        // last report, as sent
+	reportedAt   time.Time
+	RefusedConns atomic.Int64 // connections refused above the limit
+	replaced     atomic.Bool  // a successor has its addresses
 }
 
-// Faults are what can be wrong with a server; shares from 0 to 1, read at any time.
+// Faults are the faults injected into a server. They may change at any time.
 type Faults struct {
-	mu                                 sync.Mutex
-	Slow, Refuse, Spoil, Lose, Failing float64
-	Vanished                           bool
+	mu           sync.Mutex
+	Slow         float64 // factor on the work of each request; 1 or less: none
+	Refuse       float64 // share of requests refused, from 0 to 1
+	Corrupt      float64 // share of values sent corrupted, from 0 to 1
+	DropAnswer   float64 // share of requests without an answer, from 0 to 1
+	Fail         float64 // share of requests that fail at once, from 0 to 1
+	Unresponsive bool    // no request is answered
 }
 
-// Set changes what is wrong.
-func (f *Faults) Set(do func(*Faults)) {
+// Update changes the faults atomically.
+func (f *Faults) Update(change func(*Faults)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	do(f)
+	change(f)
 }
 
-func (f *Faults) get() (slow, refuse, spoil, lose, failing float64, vanished bool) {
+// snapshot returns all faults as they are now.
+func (f *Faults) snapshot() (slow, refuse, corrupt, dropAnswer, fail float64, unresponsive bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.Slow, f.Refuse, f.Spoil, f.Lose, f.Failing, f.Vanished
+	return f.Slow, f.Refuse, f.Corrupt, f.DropAnswer, f.Fail, f.Unresponsive
 }
 
-// link is one connection from a proxy.
-type link struct {
-	c       *Cache
-	nc      net.Conn
-	number  uint32
-	zone    int
-	answers chan chan []byte // in the order of their commands
-	mu      sync.Mutex
-	jobs    map[*job]bool
-	open    map[uint64]bool // pushes without their end
-	gone    bool
-	done    chan struct{}
+// conn is a connection from a proxy to a cache.
+type conn struct {
+	cache      *Cache
+	netConn    net.Conn
+	number     uint32           // connection number in the ledger
+	zone       int              // of the proxy
+	answers    chan chan []byte // in the order of their commands
+	mu         sync.Mutex
+	jobs       map[*job]bool   // queued or running
+	openPushes map[uint64]bool // ops received, whose end is not recorded yet
+	closed     bool
+	done       chan struct{} // closed by cleanUp
 }
 
-const mostPiped = 64 // commands on one connection that wait for their answers
+// milliCores is the unit of capacity in the ledger, per core.
+const milliCores = 1000
 
-func newCache(w *World, n uint32, name string, zone int) *Cache {
-	x := w.Exp.Caches
-	c := &Cache{Number: n, Name: name, Zone: zone, w: w, conns: map[*link]bool{}, started: -1}
-	cores := x.Cores
-	if w.draw(uint64(n), 0, "kind") < x.Small {
+// maxPipelined is the number of commands on one connection that may wait for their answers.
+const maxPipelined = 64
+
+// pipelineTimeout is how long a connection with maxPipelined commands may go without taking an answer.
+const pipelineTimeout = time.Minute
+
+// newCache makes a cache that is not started yet.
+func newCache(w *World, number uint32, name string, zone int) *Cache {
+	settings := w.Experiment.Caches
+	c := &Cache{Number: number, Name: name, Zone: zone, world: w, conns: map[*conn]bool{}, startedAt: -1}
+	cores := settings.Cores
+	if w.random(uint64(number), 0, "kind") < settings.SmallShare {
 		c.Small, cores = true, max(cores/2, 1)
 	}
-	c.station = &station{cores: cores, room: x.Queue}
-	c.station.speed = func(int) float64 {
-		slow, _, _, _, _, _ := c.Fault.get()
-		return c.share() / max(slow, 1)
+	c.queue = &workQueue{cores: cores, queueLimit: settings.QueueLimit}
+	c.queue.speed = func(int) float64 {
+		slow, _, _, _, _, _ := c.Faults.snapshot()
+		return c.capacityShare() / max(slow, 1)
 	}
-	c.store = newStore(int(x.MemoryMB * (1 << 20)))
+	c.store = newStore(int(settings.MemoryMB * (1 << 20)))
 	return c
 }
 
-// share is the part of its capacity that a cache has by now.
-func (c *Cache) share() float64 {
-	x := c.w.Exp.Caches
+// capacityShare returns the share of its full speed that the cache has now: it rises from the cold share to 1 during the warm-up.
+func (c *Cache) capacityShare() float64 {
+	settings := c.world.Experiment.Caches
 	c.mu.Lock()
-	started := c.started
+	started := c.startedAt
 	c.mu.Unlock()
 	if started < 0 {
 		return 1
 	}
-	return min(x.ColdFrom+(1-x.ColdFrom)*float64(c.w.Now()-started)/float64(max(x.WarmUp.Std(), 1)), 1)
+	return min(settings.ColdCapacityShare+(1-settings.ColdCapacityShare)*float64(c.world.Now()-started)/float64(max(settings.WarmUp.Std(), 1)), 1)
 }
 
-// up starts the process: its listeners, its name in the list.
-func (c *Cache) up(cold bool) error {
-	if c.followed.Load() {
+// start opens the listeners and announces the cache as active. With cold set it starts empty and in slow start. It does nothing
+// when the cache runs or has been replaced.
+func (c *Cache) start(cold bool) error {
+	if c.replaced.Load() {
 		return nil
 	}
 	c.mu.Lock()
@@ -113,177 +127,197 @@
 		return nil
 	}
 	if cold {
-		c.started = c.w.Now()
-		c.store = newStore(c.store.most)
+		c.startedAt = c.world.Now()
+		c.store = newStore(c.store.maxBytes)
 	}
-	again := len(c.addrs) > 0
-	for n, d := range c.w.doors() {
-		addr := c.w.cacheHost(n, c.Number) + ":0"
-		if again {
-			addr = c.addrs[n]
+	restarted := len(c.addrs) > 0
+	for group, g := range c.world.proxyGroups() {
+		addr := c.world.cacheHost(group, c.Number) + ":0"
+		if restarted {
+			addr = c.addrs[group]
 		}
-		l, err := c.w.listenAgain(addr, func(addr string) (net.Listener, error) {
-			return c.w.listen(addr, d, ways.Endpoint{Site: c.Zone, Name: c.Name})
+		l, err := c.world.relisten(addr, func(addr string) (net.Listener, error) {
+			return c.world.listen(addr, g, ways.Endpoint{Site: c.Zone, Name: c.Name})
 		})
 		if err != nil {
 			c.mu.Unlock()
 			return fmt.Errorf("%s: %w", c.Name, err)
 		}
 		c.listeners = append(c.listeners, l)
-		if again {
-			c.addrs[n] = l.Addr().String()
+		if restarted {
+			c.addrs[group] = l.Addr().String()
 		} else {
 			c.addrs = append(c.addrs, l.Addr().String())
 		}
-		go c.accept(l, d.zone)
+		go c.accept(l, g.zone)
 	}
 	c.alive = true
 	c.mu.Unlock()
-	was := uint32(0)
+	coldStart := uint32(0)
 	if cold {
-		was = 1
+		coldStart = 1
 	}
-	c.w.Book.Append(ledger.Record{Kind: ledger.ServerStarted, At: c.w.Now(), A: c.Number, B: uint32(1000 * c.station.cores), C: was})
-	c.w.Reg.set(c, ledger.StateActive)
+	c.world.Ledger.Append(ledger.Record{
+		Kind: ledger.ServerStarted,
+		At:   c.world.Now(),
+		A:    c.Number,
+		B:    uint32(milliCores * c.queue.cores),
+		C:    coldStart,
+	})
+	c.world.Registry.publishState(c, ledger.StateActive)
 	return nil
 }
 
-// down ends the process; its connections are reset. The list learns it by itself, late.
-func (c *Cache) down(quiet bool) {
+// stop closes the listeners, resets all connections and drops all work. Unless the whole world shuts down, the list of caches
+// learns of it after its delay.
+func (c *Cache) stop(shutdown bool) {
 	c.mu.Lock()
 	c.alive = false
 	for _, l := range c.listeners {
 		l.Close()
 	}
 	c.listeners = nil
-	links := c.links()
+	conns := c.openConns()
 	c.mu.Unlock()
-	for _, l := range links {
-		l.reset()
+	for _, l := range conns {
+		l.abort()
 	}
-	c.station.clear()
-	if !quiet {
-		c.w.Reg.set(c, ledger.StateOut)
+	c.queue.clear()
+	if !shutdown {
+		c.world.Registry.publishState(c, ledger.StateOut)
 	}
 }
 
-// Kill ends it without a word; Restart brings it back cold and empty under its id.
-func (c *Cache) Kill()          { c.down(false) }
-func (c *Cache) Restart() error { return c.up(true) }
+// Kill ends the cache at once, as a crash does.
+func (c *Cache) Kill() { c.stop(false) }
+
+// Restart starts a killed cache cold and empty under the same id.
+func (c *Cache) Restart() error { return c.start(true) }
 
-// Drain lets the list say that it is leaving; it finishes what it has, and goes after a span.
-func (c *Cache) Drain() { c.w.Reg.set(c, ledger.StateLeaving) }
+// Drain announces the cache as leaving. It goes on serving until it is killed.
+func (c *Cache) Drain() { c.world.Registry.publishState(c, ledger.StateLeaving) }
 
-// Alive tells whether its process runs.
+// Alive reports whether the cache runs.
 func (c *Cache) Alive() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.alive
 }
 
-// Reset resets all its connections.
-func (c *Cache) Reset() {
+// ResetConns closes all connections with a TCP reset.
+func (c *Cache) ResetConns() {
 	c.mu.Lock()
-	links := c.links()
+	conns := c.openConns()
 	c.mu.Unlock()
-	for _, l := range links {
-		l.reset()
+	for _, l := range conns {
+		l.abort()
 	}
 }
 
-// Still lets it stand still for a span.
-func (c *Cache) Still(span time.Duration) { c.station.hold(time.Now().Add(span)) }
+// Pause stops the cache from starting work for a duration.
+func (c *Cache) Pause(duration time.Duration) { c.queue.pauseUntil(time.Now().Add(duration)) }
 
-// Flush voids a share of its copies, the same keys at every cache.
-func (c *Cache) Flush(share float64) {
+// Invalidate removes a share of the keys, the same keys at every cache.
+func (c *Cache) Invalidate(share float64) {
 	c.mu.Lock()
-	s := c.store
+	store := c.store
 	c.mu.Unlock()
-	s.flush(func(key string) bool { return c.w.draw(Number(key), 0, "flush") < share })
+	store.removeIf(func(key string) bool { return c.world.random(OpNumber(key), 0, "flush") < share })
 }
 
-// Fill puts keys into it, as if it had been asked for them lately.
-func (c *Cache) Fill(key string, size int) { c.store.put(key, size) }
+// Prefill stores a key as the most recently used one.
+func (c *Cache) Prefill(key string, size int) { c.store.put(key, size) }
 
-// Connections are how many are open.
+// Connections returns the number of open connections.
 func (c *Cache) Connections() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.conns)
 }
 
-func (c *Cache) links() (links []*link) {
-	for l := range c.conns {
-		links = append(links, l)
+// openConns lists the open connections; the caller holds the mutex.
+func (c *Cache) openConns() []*conn {
+	var conns []*conn
+	for connection := range c.conns {
+		conns = append(conns, connection)
 	}
-	return links
+	return conns
 }
 
+// accept serves the connections of one listener, and resets those above the limit.
 func (c *Cache) accept(l net.Listener, zone int) {
 	for {
-		nc, err := l.Accept()
+		netConn, err := l.Accept()
 		if err != nil {
 			return
 		}
-		k := &link{c: c, nc: nc, number: c.w.conn(), zone: zone, answers: make(chan chan []byte, mostPiped), jobs: map[*job]bool{},
-			open: map[uint64]bool{}, done: make(chan struct{})}
+		k := &conn{
+			cache:      c,
+			netConn:    netConn,
+			number:     c.world.nextConnNumber(),
+			zone:       zone,
+			answers:    make(chan chan []byte, maxPipelined),
+			jobs:       map[*job]bool{},
+			openPushes: map[uint64]bool{},
+			done:       make(chan struct{}),
+		}
 		c.mu.Lock()
-		if !c.alive || len(c.conns) >= c.w.Exp.Caches.Connections {
+		if !c.alive || len(c.conns) >= c.world.Experiment.Caches.MaxConns {
 			c.mu.Unlock()
-			c.Refused.Add(1)
-			k.reset()
+			c.RefusedConns.Add(1)
+			k.abort()
 			continue
 		}
 		c.conns[k] = true
 		c.mu.Unlock()
-		if work := c.w.Exp.Caches.Handshake.Std(); work > 0 {
-			c.station.offer(&job{work: work, done: func() {}})
+		if work := c.world.Experiment.Caches.HandshakeWork.Std(); work > 0 {
+			c.queue.offer(&job{work: work, done: func() {}})
 		}
-		go k.write()
-		go k.read()
+		go k.writeAnswers()
+		go k.readCommands()
 	}
 }
 
-// reset ends a connection with a reset, as a process that dies does.
-func (k *link) reset() {
-	switch c := k.nc.(type) {
+// abort closes the connection with a TCP reset, as the kernel does for a process that dies.
+func (k *conn) abort() {
+	switch c := k.netConn.(type) {
 	case *ways.Conn:
 		c.Abort()
 		return
 	case *net.TCPConn:
 		c.SetLinger(0)
 	}
-	k.nc.Close()
+	k.netConn.Close()
 }
 
-// read takes commands; each counts from its last byte.
-func (k *link) read() {
-	defer k.end()
-	r := redcon.NewReader(k.nc)
+// readCommands handles commands until the connection ends. A command counts as received once its last byte is read.
+func (k *conn) readCommands() {
+	defer k.cleanUp()
+	reader := redcon.NewReader(k.netConn)
 	for {
-		cmd, err := r.ReadCommand()
+		cmd, err := reader.ReadCommand()
 		if err != nil {
 			return
 		}
 		answer := make(chan []byte, 1)
 		select {
 		case k.answers <- answer:
-		case <-time.After(time.Minute): // whoever pipes so many and reads nothing
+		case <-time.After(pipelineTimeout): // the peer pipelines commands and reads no answers
 			return
 		}
-		k.c.take(k, cmd, answer)
+		k.cache.handleCommand(k, cmd, answer)
 	}
 }
 
-// write sends answers in the order of their commands.
-func (k *link) write() {
+// writeAnswers sends the answers in the order of their commands.
+func (k *conn) writeAnswers() {
 	for {
 		select {
 		case answer := <-k.answers:
 			select {
 			case text := <-answer:
-				if _, err := k.nc.Write(text); err != nil {
-					k.nc.Close()
+				if _, err := k.netConn.Write(text); err != nil {
+					k.netConn.Close()
 				}
 			case <-k.done:
 				return
@@ -294,60 +328,74 @@
 	}
 }
 
-// end takes back what nobody waits for any more.
-func (k *link) end() {
-	k.nc.Close()
-	k.c.mu.Lock()
-	delete(k.c.conns, k)
-	k.c.mu.Unlock()
+// cleanUp closes the connection, cancels its jobs as configured, and records its open pushes as lost with the connection.
+func (k *conn) cleanUp() {
+	k.netConn.Close()
+	k.cache.mu.Lock()
+	delete(k.cache.conns, k)
+	k.cache.mu.Unlock()
 	k.mu.Lock()
-	k.gone = true
-	jobs, open := k.jobs, k.open
-	k.jobs, k.open = map[*job]bool{}, map[uint64]bool{}
+	k.closed = true
+	jobs, openPushes := k.jobs, k.openPushes
+	k.jobs, k.openPushes = map[*job]bool{}, map[uint64]bool{}
 	k.mu.Unlock()
 	close(k.done)
 	for j := range jobs {
-		if cancel := k.c.w.Exp.Caches.Cancel; cancel != "none" {
-			k.c.station.cancel(j, cancel == "all")
+		if cancel := k.cache.world.Experiment.Caches.CancelMode; cancel != "none" {
+			k.cache.queue.cancel(j, cancel == "all")
 		}
 	}
-	for op := range open {
-		k.c.w.Book.Append(ledger.Record{Kind: ledger.PushEnded, At: k.c.w.Now(), Op: op, A: k.c.Number, B: k.number, C: ledger.EndConnLost})
+	for op := range openPushes {
+		k.cache.world.Ledger.Append(ledger.Record{
+			Kind: ledger.PushEnded,
+			At:   k.cache.world.Now(),
+			Op:   op,
+			A:    k.cache.Number,
+			B:    k.number,
+			C:    ledger.EndConnLost,
+		})
 	}
 }
 
-// over books a push's end, once, and hands its answer to who writes; how long the way takes is added.
-func (k *link) over(op uint64, how uint32, answer chan []byte, text string) {
-	way := k.c.w.delay(k.zone, k.c.Zone)
-	do := func() {
+// endPush records the end of a push, once, and passes its answer to writeAnswers, after the delay between the zones.
+func (k *conn) endPush(op uint64, outcome uint32, answer chan []byte, text string) {
+	delay := k.cache.world.zoneDelay(k.zone, k.cache.Zone)
+	finish := func() {
 		k.mu.Lock()
-		open := k.open[op]
-		delete(k.open, op)
+		open := k.openPushes[op]
+		delete(k.openPushes, op)
 		k.mu.Unlock()
 		if open {
-			k.c.w.Book.Append(ledger.Record{Kind: ledger.PushEnded, At: k.c.w.Now(), Op: op, A: k.c.Number, B: k.number, C: how})
+			k.cache.world.Ledger.Append(ledger.Record{
+				Kind: ledger.PushEnded,
+				At:   k.cache.world.Now(),
+				Op:   op,
+				A:    k.cache.Number,
+				B:    k.number,
+				C:    outcome,
+			})
 			answer <- []byte(text)
 		}
 	}
-	if way > 0 {
-		time.AfterFunc(way, do)
+	if delay > 0 {
+		time.AfterFunc(delay, finish)
 	} else {
-		do()
+		finish()
 	}
 }
 
-// words takes a list of names and values apart.
-func words(props string) map[string]string {
-	all := map[string]string{}
+// parseProps parses "name=value,name=value".
+func parseProps(props string) map[string]string {
+	values := map[string]string{}
 	for _, p := range strings.Split(props, ",") {
 		name, value, _ := strings.Cut(p, "=")
-		all[name] = value
+		values[name] = value
 	}
-	return all
+	return values
 }
 
-// Waiting is how much waits for its cores.
-func (c *Cache) Waiting() int {
-	_, waiting := c.station.load()
+// QueuedRequests returns the number of requests that wait for a core.
+func (c *Cache) QueuedRequests() int {
+	_, waiting := c.queue.load()
 	return waiting
 }
--- a/lab/world/origin.go
+++ b/lab/world/origin.go
@@ -13,30 +13,36 @@
 	"minttray/lab/ledger"
 )
 
-// Origin is what all caches are filled from. It speaks HTTP/1.1, can take far less than all ops, slows down as work
-// waits, and goes on with work that nobody waits for.
+// Origin is the stand-in for the origin, from which all caches are filled. It speaks HTTP/1.1. Its capacity is far below the whole
+// load, it slows down as its queue grows, and it finishes work whose client has left.
 type Origin struct {
-	Fault   Faults
-	Fetches atomic.Int64
+	Faults  Faults
+	Fetches atomic.Int64 // requests received, those of caches included
 
-	w       *World
-	addrs   []string // by the door of who connects
-	server  *http.Server
-	station *station
+	world  *World
+	addrs  []string // by proxy group
+	server *http.Server
+	queue  *workQueue
 }
 
+// newOrigin starts the origin, with one listener for each proxy group.
 func newOrigin(w *World) (*Origin, error) {
-	o := &Origin{w: w}
-	x := w.Exp.Origin
-	o.station = &station{cores: x.Cores, room: x.Queue}
-	o.station.speed = func(waiting int) float64 {
-		slow, _, _, _, _, _ := o.Fault.get()
-		return 1 / max(slow, 1) / (1 + x.Thrash*float64(waiting)/float64(x.Cores))
+	o := &Origin{world: w}
+	settings := w.Experiment.Origin
+	o.queue = &workQueue{cores: settings.Cores, queueLimit: settings.QueueLimit}
+	o.queue.speed = func(waiting int) float64 {
+		slow, _, _, _, _, _ := o.Faults.snapshot()
+		return 1 / max(slow, 1) / (1 + settings.QueueSlowdown*float64(waiting)/float64(settings.Cores))
 	}
-	o.server = &http.Server{Handler: http.HandlerFunc(o.serve), ReadHeaderTimeout: 10 * time.Second,
-		ConnContext: func(ctx context.Context, c net.Conn) context.Context { return context.WithValue(ctx, connKey{}, c) }}
-	for n, d := range w.doors() {
-		l, err := w.listen(w.originHost(n)+":0", d, w.OriginEnd())
+	o.server = &http.Server{
+		Handler:           http.HandlerFunc(o.serve),
+		ReadHeaderTimeout: headerTimeout,
+		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
+			return context.WithValue(ctx, connContextKey{}, c)
+		},
+	}
+	for group, g := range w.proxyGroups() {
+		l, err := w.listen(w.originHost(group)+":0", g, w.OriginEndpoint())
 		if err != nil {
 			o.close()
 			return nil, err
@@ -49,99 +55,108 @@
 
 func (o *Origin) close() { o.server.Close() }
 
-type connKey struct{}
+const (
+	headerTimeout     = 10 * time.Second // for the header of an HTTP request
+	maxBodyBytes      = 64 << 10         // of a request to the origin
+	maxFilledPerFetch = 2                // caches that store the value of one fetch
+)
+
+// connContextKey is the context key of a request's net.Conn.
+type connContextKey struct{}
 
-// Stop lets it take nothing for a span: what comes waits.
-func (o *Origin) Stop(span time.Duration) { o.station.hold(time.Now().Add(span)) }
+// Pause stops the origin from starting work for a duration; requests wait in its queue.
+func (o *Origin) Pause(duration time.Duration) { o.queue.pauseUntil(time.Now().Add(duration)) }
 
-// store notes that a key was written: copies elsewhere are void.
-func (o *Origin) store(key string) {
-	for _, c := range o.w.Caches() {
+// invalidateCopies removes a written key from all caches.
+func (o *Origin) invalidateCopies(key string) {
+	for _, c := range o.world.Caches() {
 		c.mu.Lock()
 		s := c.store
 		c.mu.Unlock()
-		s.drop(key)
+		s.remove(key)
 	}
 }
 
-// fetch is a cache's own, in the mode through.
+// fetch queues a fetch by a cache in mode "through". It returns false when the queue is full.
 func (o *Origin) fetch(op uint64, done func(ok bool)) bool {
 	o.Fetches.Add(1)
-	return o.station.offer(&job{work: o.w.work(o.w.Exp.Origin.Work.Std(), op, 0), done: func() { done(true) }})
+	return o.queue.offer(&job{work: o.world.drawWork(o.world.Experiment.Origin.Work.Std(), op, 0), done: func() { done(true) }})
 }
 
+// serve handles a request of a proxy, and records it as a push to server 0.
 func (o *Origin) serve(out http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/ping" || r.URL.Path == "/_load" {
 		fmt.Fprint(out, "queue=0")
 		return
 	}
 	key, id := r.URL.Path[1:], r.Header.Get("X-Trace-Id")
-	op := Number(id)
-	_, err := io.ReadAll(http.MaxBytesReader(out, r.Body, 64<<10))
+	op := OpNumber(id)
+	_, err := io.ReadAll(http.MaxBytesReader(out, r.Body, maxBodyBytes))
 	if err != nil {
 		out.Header().Set("X-Never-Ran", "1")
 		http.Error(out, err.Error(), http.StatusServiceUnavailable)
 		return
 	}
 	write := r.Method == http.MethodPut
-	props := words(r.Header.Get("X-Props"))
-	category := o.w.category(props["c"])
+	props := parseProps(r.Header.Get("X-Props"))
+	category := o.world.category(props["c"])
 	o.Fetches.Add(1)
-	sent := o.w.Now()
-	if c, ok := r.Context().Value(connKey{}).(net.Conn); ok {
-		sent = o.w.sent(c)
+	sent := o.world.Now()
+	if c, ok := r.Context().Value(connContextKey{}).(net.Conn); ok {
+		sent = o.world.sentAt(c)
 	}
-	number := o.w.conn() // one push is out on a connection at a time: a number for each tells them apart
-	work := o.w.work(o.w.Exp.Origin.Work.Std(), op, 0)
-	o.w.push(ledger.Record{At: sent, Op: op, B: number, C: uint32(work / time.Microsecond)}, props)
-	over := func(how uint32) {
-		o.w.Book.Append(ledger.Record{Kind: ledger.PushEnded, At: o.w.Now(), Op: op, B: number, C: how})
+	number := o.world.nextConnNumber() // one for each push: an HTTP/1.1 connection carries one request at a time
+	work := o.world.drawWork(o.world.Experiment.Origin.Work.Std(), op, 0)
+	o.world.recordPush(ledger.Record{At: sent, Op: op, B: number, C: uint32(work / time.Microsecond)}, props)
+	endPush := func(outcome uint32) {
+		o.world.Ledger.Append(ledger.Record{Kind: ledger.PushEnded, At: o.world.Now(), Op: op, B: number, C: outcome})
 	}
 	done := make(chan struct{})
-	_, _, _, lose, failing, vanished := o.Fault.get()
-	if o.w.draw(op, 0, "fail") < failing {
-		over(ledger.EndFailed)
+	_, _, _, dropAnswer, fail, unresponsive := o.Faults.snapshot()
+	if o.world.random(op, 0, "fail") < fail {
+		endPush(ledger.EndFailed)
 		http.Error(out, "failed", http.StatusInternalServerError)
 		return
 	}
-	if !o.station.offer(&job{work: work, done: func() { close(done) }}) {
-		over(ledger.EndRefused)
+	if !o.queue.offer(&job{work: work, done: func() { close(done) }}) {
+		endPush(ledger.EndRefused)
 		out.Header().Set("X-Never-Ran", "1")
 		http.Error(out, "full", http.StatusServiceUnavailable)
 		return
 	}
-	if vanished || o.w.draw(op, 0, "lose") < lose {
+	if unresponsive || o.world.random(op, 0, "lose") < dropAnswer {
 		<-r.Context().Done()
-		over(ledger.EndConnLost)
+		endPush(ledger.EndConnLost)
 		return
 	}
 	select {
 	case <-done:
-	case <-r.Context().Done(): // the work goes on
-		over(ledger.EndConnLost)
+	case <-r.Context().Done(): // the queue still finishes the work
+		endPush(ledger.EndConnLost)
 		return
 	}
 	if write {
-		o.w.effect(request{id: id, op: op, category: category, write: true}, 0, 0)
-		o.store(key)
-		over(ledger.EndAnswered)
-		reply(out, Value(key, id, 1))
+		o.world.applyWrite(request{id: id, op: op, category: category, write: true}, 0, 0)
+		o.invalidateCopies(key)
+		endPush(ledger.EndAnswered)
+		writeValue(out, Value(key, id, 1))
 		return
 	}
-	if m, ok := o.w.missed.LoadAndDelete(id); ok && r.Context().Err() == nil {
-		m.(*missing).mu.Lock()
-		for i, c := range m.(*missing).caches {
-			if i < 2 && c.Alive() {
+	if value, ok := o.world.originMisses.LoadAndDelete(id); ok && r.Context().Err() == nil {
+		value.(*missedCaches).mu.Lock()
+		for i, c := range value.(*missedCaches).caches {
+			if i < maxFilledPerFetch && c.Alive() {
 				c.store.put(key, category.Size)
 			}
 		}
-		m.(*missing).mu.Unlock()
+		value.(*missedCaches).mu.Unlock()
 	}
-	over(ledger.EndAnswered)
-	reply(out, Value(key, id, category.Size))
+	endPush(ledger.EndAnswered)
+	writeValue(out, Value(key, id, category.Size))
 }
 
-func reply(out http.ResponseWriter, value string) {
+// writeValue answers a request with a value.
+func writeValue(out http.ResponseWriter, value string) {
 	out.Header().Set("Content-Length", strconv.Itoa(len(value)))
 	io.WriteString(out, value)
 }
--- a/lab/world/serve.go
+++ b/lab/world/serve.go
@@ -13,25 +13,29 @@
 	"minttray/lab/ledger"
 )
 
-// request is one command, taken apart.
+// request is one parsed command.
 type request struct {
-	key, id  string
-	op       uint64
+	key      string
+	id       string // of the op, as sent
+	op       uint64 // its number
 	category experiment.Category
 	write    bool
-	place    *link
+	conn     *conn
 	answer   chan []byte
 }
 
-// take takes one whole command: the push is begun now.
-func (c *Cache) take(k *link, cmd redcon.Command, answer chan []byte) {
+// lookupWorkDivisor is how much less work a lookup that misses takes in mode "aside" than a hit.
+const lookupWorkDivisor = 8
+
+// handleCommand handles one complete command. A CACHE.GET or CACHE.SET is recorded as a push that the server received.
+func (c *Cache) handleCommand(cn *conn, cmd redcon.Command, answer chan []byte) {
 	name := strings.ToUpper(string(cmd.Args[0]))
 	switch {
 	case name == "PING":
 		answer <- []byte("+PONG\r\n")
 		return
 	case name == "INFO" && len(cmd.Args) == 2:
-		answer <- redcon.AppendBulkString(nil, c.load())
+		answer <- redcon.AppendBulkString(nil, c.currentLoadReport())
 		return
 	case name == "CLIENT" || name == "SELECT":
 		answer <- []byte("+OK\r\n")
@@ -41,173 +45,187 @@
 		answer <- []byte("-SYNTAX\r\n")
 		return
 	}
-	r := request{key: string(cmd.Args[1]), id: string(cmd.Args[2]), write: name == "CACHE.SET", place: k, answer: answer}
-	r.op = Number(r.id)
-	props := words(string(cmd.Args[3]))
-	r.category = c.w.category(props["c"])
-	work := c.w.work(r.category.Work.Std(), r.op, c.Number)
-	k.mu.Lock()
-	k.open[r.op] = true
-	k.mu.Unlock()
-	c.w.push(ledger.Record{At: c.w.sent(k.nc), Op: r.op, A: c.Number, B: k.number, C: uint32(work / time.Microsecond)}, props)
-	way := c.w.delay(k.zone, c.Zone)
-	if way > 0 {
-		time.AfterFunc(way, func() { c.begin(r, work) })
+	req := request{key: string(cmd.Args[1]), id: string(cmd.Args[2]), write: name == "CACHE.SET", conn: cn, answer: answer}
+	req.op = OpNumber(req.id)
+	props := parseProps(string(cmd.Args[3]))
+	req.category = c.world.category(props["c"])
+	work := c.world.drawWork(req.category.Work.Std(), req.op, c.Number)
+	cn.mu.Lock()
+	cn.openPushes[req.op] = true
+	cn.mu.Unlock()
+	c.world.recordPush(ledger.Record{
+		At: c.world.sentAt(cn.netConn),
+		Op: req.op,
+		A:  c.Number,
+		B:  cn.number,
+		C:  uint32(work / time.Microsecond),
+	}, props)
+	delay := c.world.zoneDelay(cn.zone, c.Zone)
+	if delay > 0 {
+		time.AfterFunc(delay, func() { c.startRequest(req, work) })
 	} else {
-		c.begin(r, work)
+		c.startRequest(req, work)
 	}
 }
 
-// begin has the command at the server.
-func (c *Cache) begin(r request, work time.Duration) {
-	_, refuse, _, lose, failing, vanished := c.Fault.get()
+// startRequest applies the injected faults to a request, and queues its work.
+func (c *Cache) startRequest(req request, work time.Duration) {
+	_, refuse, _, dropAnswer, fail, unresponsive := c.Faults.snapshot()
 	switch {
-	case vanished || c.w.draw(r.op, c.Number, "lose") < lose:
-		c.w.Book.Append(ledger.Record{Kind: ledger.PushEnded, At: c.w.Now(), Op: r.op, A: c.Number, B: r.place.number, C: ledger.EndUnanswered})
-		r.place.mu.Lock()
-		delete(r.place.open, r.op) // it stays owed, on an open connection
-		r.place.mu.Unlock()
+	case unresponsive || c.world.random(req.op, c.Number, "lose") < dropAnswer:
+		c.world.Ledger.Append(ledger.Record{
+			Kind: ledger.PushEnded,
+			At:   c.world.Now(),
+			Op:   req.op,
+			A:    c.Number,
+			B:    req.conn.number,
+			C:    ledger.EndUnanswered,
+		})
+		req.conn.mu.Lock()
+		delete(req.conn.openPushes, req.op) // no answer ever comes, while the connection stays open
+		req.conn.mu.Unlock()
 		return
-	case c.w.draw(r.op, c.Number, "refuse") < refuse:
-		r.place.over(r.op, ledger.EndRefused, r.answer, "-BUSY\r\n")
+	case c.world.random(req.op, c.Number, "refuse") < refuse:
+		req.conn.endPush(req.op, ledger.EndRefused, req.answer, "-BUSY\r\n")
 		return
-	case c.w.draw(r.op, c.Number, "fail") < failing:
-		r.place.over(r.op, ledger.EndFailed, r.answer, "-ERR failed\r\n")
+	case c.world.random(req.op, c.Number, "fail") < fail:
+		req.conn.endPush(req.op, ledger.EndFailed, req.answer, "-ERR failed\r\n")
 		return
 	}
-	if r.write && c.w.Exp.Caches.Mode == "aside" {
-		r.place.over(r.op, ledger.EndMissed, r.answer, "*3\r\n$-1\r\n$-1\r\n$-1\r\n")
+	if req.write && c.world.Experiment.Caches.Mode == "aside" {
+		req.conn.endPush(req.op, ledger.EndMissed, req.answer, "*3\r\n$-1\r\n$-1\r\n$-1\r\n")
 		return
 	}
 	c.mu.Lock()
 	store := c.store
 	c.mu.Unlock()
-	hit := !r.write && store.has(r.key)
-	if !hit && c.w.Exp.Caches.Mode == "aside" {
-		work /= 8 // looking is little work
+	hit := !req.write && store.has(req.key)
+	if !hit && c.world.Experiment.Caches.Mode == "aside" {
+		work /= lookupWorkDivisor
 	}
 	j := &job{work: work}
-	j.done = func() { c.served(r, j, store, hit) }
-	r.place.mu.Lock()
-	gone := r.place.gone
-	r.place.jobs[j] = true
-	r.place.mu.Unlock()
-	if gone {
+	j.done = func() { c.completeRequest(req, j, store, hit) }
+	req.conn.mu.Lock()
+	closed := req.conn.closed
+	req.conn.jobs[j] = true
+	req.conn.mu.Unlock()
+	if closed {
 		return
 	}
-	if !c.station.offer(j) {
-		r.place.mu.Lock()
-		delete(r.place.jobs, j)
-		r.place.mu.Unlock()
-		r.place.over(r.op, ledger.EndRefused, r.answer, "-BUSY "+c.load()+"\r\n")
+	if !c.queue.offer(j) {
+		req.conn.mu.Lock()
+		delete(req.conn.jobs, j)
+		req.conn.mu.Unlock()
+		req.conn.endPush(req.op, ledger.EndRefused, req.answer, "-BUSY "+c.currentLoadReport()+"\r\n")
 	}
 }
 
-// served has the work done.
-func (c *Cache) served(r request, j *job, store *store, hit bool) {
-	r.place.mu.Lock()
-	delete(r.place.jobs, j)
-	gone := r.place.gone
-	r.place.mu.Unlock()
+// completeRequest answers a request whose work is done.
+func (c *Cache) completeRequest(req request, j *job, store *valueStore, hit bool) {
+	req.conn.mu.Lock()
+	delete(req.conn.jobs, j)
+	closed := req.conn.closed
+	req.conn.mu.Unlock()
 	switch {
 	case hit:
-		c.reply(r, "hit", ledger.EndAnswered)
-	case r.write:
-		c.w.effect(r, c.Number, c.Zone)
-		c.w.Origin.store(r.key)
-		store.drop(r.key)
-		c.reply(r, "", ledger.EndAnswered)
-	case c.w.Exp.Caches.Mode == "aside":
-		if !gone {
-			m, _ := c.w.missed.LoadOrStore(r.id, &missing{})
-			m.(*missing).mu.Lock()
-			m.(*missing).caches = append(m.(*missing).caches, c)
-			m.(*missing).mu.Unlock()
-			time.AfterFunc(r.category.TTL.Std(), func() { c.w.missed.Delete(r.id) })
+		c.sendValue(req, "hit", ledger.EndAnswered)
+	case req.write:
+		c.world.applyWrite(req, c.Number, c.Zone)
+		c.world.Origin.invalidateCopies(req.key)
+		store.remove(req.key)
+		c.sendValue(req, "", ledger.EndAnswered)
+	case c.world.Experiment.Caches.Mode == "aside":
+		if !closed {
+			entry, _ := c.world.originMisses.LoadOrStore(req.id, &missedCaches{})
+			entry.(*missedCaches).mu.Lock()
+			entry.(*missedCaches).caches = append(entry.(*missedCaches).caches, c)
+			entry.(*missedCaches).mu.Unlock()
+			time.AfterFunc(req.category.TTL.Std(), func() { c.world.originMisses.Delete(req.id) })
 		}
-		r.place.over(r.op, ledger.EndMissed, r.answer, "*3\r\n$-1\r\n$4\r\nmiss\r\n$"+bulk(c.load())+"\r\n")
-	default: // through: it fetches by itself
-		if !c.w.Origin.fetch(r.op, func(ok bool) {
+		req.conn.endPush(req.op, ledger.EndMissed, req.answer, "*3\r\n$-1\r\n$4\r\nmiss\r\n$"+bulk(c.currentLoadReport())+"\r\n")
+	default: // mode "through": the cache fetches from the origin
+		if !c.world.Origin.fetch(req.op, func(ok bool) {
 			if !ok {
-				r.place.over(r.op, ledger.EndFailed, r.answer, "-ERR failed\r\n")
+				req.conn.endPush(req.op, ledger.EndFailed, req.answer, "-ERR failed\r\n")
 				return
 			}
-			store.put(r.key, r.category.Size)
-			c.reply(r, "miss", ledger.EndAnswered)
+			store.put(req.key, req.category.Size)
+			c.sendValue(req, "miss", ledger.EndAnswered)
 		}) {
-			r.place.over(r.op, ledger.EndFailed, r.answer, "-ERR failed\r\n")
+			req.conn.endPush(req.op, ledger.EndFailed, req.answer, "-ERR failed\r\n")
 		}
 	}
 }
 
-// reply gives the value, or a write's receipt.
-func (c *Cache) reply(r request, how string, end uint32) {
-	_, _, spoil, _, _, _ := c.Fault.get()
-	value := Value(r.key, r.id, r.category.Size)
-	if r.write {
-		value = Value(r.key, r.id, 1)
+// sendValue answers with the value of a read, or with the receipt of a write.
+func (c *Cache) sendValue(req request, hitOrMiss string, end uint32) {
+	_, _, corrupt, _, _, _ := c.Faults.snapshot()
+	value := Value(req.key, req.id, req.category.Size)
+	if req.write {
+		value = Value(req.key, req.id, 1)
 	}
-	if c.w.draw(r.op, c.Number, "spoil") < spoil {
-		r.place.over(r.op, end, r.answer, "*3\r\n$999999\r\n"+value[:min(len(value), 20)]+"\r\n")
+	if c.world.random(req.op, c.Number, "spoil") < corrupt {
+		req.conn.endPush(req.op, end, req.answer, "*3\r\n$999999\r\n"+value[:min(len(value), 20)]+"\r\n")
 		return
 	}
-	word := "$-1"
-	if how != "" {
-		word = "$" + bulk(how)
+	status := "$-1"
+	if hitOrMiss != "" {
+		status = "$" + bulk(hitOrMiss)
 	}
-	r.place.over(r.op, end, r.answer, "*3\r\n$"+bulk(value)+"\r\n"+word+"\r\n$"+bulk(c.load())+"\r\n")
+	req.conn.endPush(req.op, end, req.answer, "*3\r\n$"+bulk(value)+"\r\n"+status+"\r\n$"+bulk(c.currentLoadReport())+"\r\n")
 }
 
+// bulk formats a RESP bulk string without its "$" and its final line end.
 func bulk(s string) string { return fmt.Sprintf("%d\r\n%s", len(s), s) }
 
-// load is the load report, refreshed now and then only.
-func (c *Cache) load() string {
-	running, waiting := c.station.load()
+// currentLoadReport returns the load report, which is refreshed at most once per reporting interval.
+func (c *Cache) currentLoadReport() string {
+	running, waiting := c.queue.load()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if time.Since(c.reported) > c.w.Exp.Caches.ReportEvery.Std() {
-		c.reported = time.Now()
-		c.report = fmt.Sprintf("inflight=%d,queue=%d", running, waiting)
+	if time.Since(c.reportedAt) > c.world.Experiment.Caches.ReportEvery.Std() {
+		c.reportedAt = time.Now()
+		c.loadReport = fmt.Sprintf("inflight=%d,queue=%d", running, waiting)
 	}
-	return c.report
+	return c.loadReport
 }
 
-// category finds one by its name; an unknown name is the first.
+// category returns the category of a name, or the first one for an unknown name.
 func (w *World) category(name string) experiment.Category {
-	for _, c := range w.Exp.Categories {
+	for _, c := range w.Experiment.Categories {
 		if c.Name == name {
 			return c
 		}
 	}
-	return w.Exp.Categories[0]
+	return w.Experiment.Categories[0]
 }
 
-// effect carries a write out, but for a repeat of a deduplicated one that its group still remembers.
-func (w *World) effect(r request, server uint32, zone int) {
-	if r.category.Effect == "deduplicated" {
-		group := r.id
-		if r.category.DedupGroup == "zone" {
-			group = fmt.Sprint(r.id, "/", zone)
+// applyWrite records a write as applied, unless it repeats a deduplicated write within its deduplication window.
+func (w *World) applyWrite(req request, server uint32, zone int) {
+	if req.category.Effect == "deduplicated" {
+		scope := req.id
+		if req.category.DedupGroup == "zone" {
+			scope = fmt.Sprint(req.id, "/", zone)
 		}
-		if _, again := w.repeat.LoadOrStore(group, true); again {
+		if _, duplicate := w.appliedWrites.LoadOrStore(scope, true); duplicate {
 			return
 		}
-		time.AfterFunc(r.category.DedupWindow.Std(), func() { w.repeat.Delete(group) })
+		time.AfterFunc(req.category.DedupWindow.Std(), func() { w.appliedWrites.Delete(scope) })
 	}
-	w.Book.Append(ledger.Record{Kind: ledger.WriteApplied, At: w.Now(), Op: r.op, A: server})
+	w.Ledger.Append(ledger.Record{Kind: ledger.WriteApplied, At: w.Now(), Op: req.op, A: server})
 }
 
-// longestDeadline is the longest that a record holds, in milliseconds.
-const longestDeadline = math.MaxUint32 / 1000
+// maxDeadlineMS is the longest deadline that a ledger record can hold: it holds microseconds in 32 bits.
+const maxDeadlineMS = math.MaxUint32 / 1000
 
-// push books a push, and the deadline that it passed.
-func (w *World) push(r ledger.Record, props map[string]string) {
-	r.Kind = ledger.PushReceived
-	w.Book.Append(r)
-	ms, err := strconv.ParseFloat(props["d"], 64)
-	if err != nil || !(ms > 0) {
-		ms = 0
+// recordPush records a received push and the deadline that the proxy forwarded with it; 0 for a missing or invalid deadline.
+func (w *World) recordPush(record ledger.Record, props map[string]string) {
+	record.Kind = ledger.PushReceived
+	w.Ledger.Append(record)
+	deadlineMS, err := strconv.ParseFloat(props["d"], 64)
+	if err != nil || !(deadlineMS > 0) {
+		deadlineMS = 0
 	}
-	r.Kind, r.C = ledger.DeadlineForwarded, uint32(min(ms, longestDeadline)*1000)
-	w.Book.Append(r)
+	record.Kind, record.C = ledger.DeadlineForwarded, uint32(min(deadlineMS, maxDeadlineMS)*1000)
+	w.Ledger.Append(record)
 }
--- a/lab/world/store.go
+++ b/lab/world/store.go
@@ -5,70 +5,75 @@
 	"sync"
 )
 
-// store is a cache's content: bounded by bytes, the longest unused goes first.
-type store struct {
-	mu    sync.Mutex
-	bytes int
-	most  int
-	order *list.List // of kept, the latest used in front
-	at    map[string]*list.Element
+// valueStore is the content of a cache: an LRU of value sizes, bounded by their sum. Values themselves are generated on demand.
+type valueStore struct {
+	mu       sync.Mutex
+	bytes    int        // sum of all sizes
+	maxBytes int        // limit of bytes; a single larger value is still stored
+	lru      *list.List // of storedValue, the most recently used in front
+	elements map[string]*list.Element
 }
 
-type kept struct {
+// storedValue is the size of one stored value, in bytes.
+type storedValue struct {
 	key  string
 	size int
 }
 
-func newStore(most int) *store {
-	return &store{most: most, order: list.New(), at: map[string]*list.Element{}}
+// newStore makes an empty store of maxBytes bytes.
+func newStore(maxBytes int) *valueStore {
+	return &valueStore{maxBytes: maxBytes, lru: list.New(), elements: map[string]*list.Element{}}
 }
 
-func (s *store) has(key string) bool {
+// has reports whether a key is stored, and marks it as used.
+func (s *valueStore) has(key string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	e := s.at[key]
+	e := s.elements[key]
 	if e != nil {
-		s.order.MoveToFront(e)
+		s.lru.MoveToFront(e)
 	}
 	return e != nil
 }
 
-func (s *store) put(key string, size int) {
+// put stores a key as the most recently used one, and evicts the least recently used ones above the limit.
+func (s *valueStore) put(key string, size int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if e := s.at[key]; e != nil {
-		s.bytes += size - e.Value.(kept).size
-		e.Value = kept{key, size}
-		s.order.MoveToFront(e)
+	if e := s.elements[key]; e != nil {
+		s.bytes += size - e.Value.(storedValue).size
+		e.Value = storedValue{key, size}
+		s.lru.MoveToFront(e)
 	} else {
-		s.at[key] = s.order.PushFront(kept{key, size})
+		s.elements[key] = s.lru.PushFront(storedValue{key, size})
 		s.bytes += size
 	}
-	for s.bytes > s.most && s.order.Len() > 1 {
-		e := s.order.Back()
-		k := s.order.Remove(e).(kept)
-		delete(s.at, k.key)
-		s.bytes -= k.size
+	for s.bytes > s.maxBytes && s.lru.Len() > 1 {
+		e := s.lru.Back()
+		evicted := s.lru.Remove(e).(storedValue)
+		delete(s.elements, evicted.key)
+		s.bytes -= evicted.size
 	}
 }
 
-func (s *store) drop(key string) {
+// remove deletes a key.
+func (s *valueStore) remove(key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if e := s.at[key]; e != nil {
-		s.bytes -= s.order.Remove(e).(kept).size
-		delete(s.at, key)
+	if e := s.elements[key]; e != nil {
+		s.bytes -= s.lru.Remove(e).(storedValue).size
+		delete(s.elements, key)
 	}
 }
 
-// flush voids a share of what is kept; draw tells by key.
-func (s *store) flush(gone func(key string) bool) {
+// removeIf deletes all keys for which remove returns true.
+func (s *valueStore) removeIf(remove func(key string) bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for key, e := range s.at {
-		if gone(key) {
-			s.bytes -= s.order.Remove(e).(kept).size
-			delete(s.at, key)
+	for key, e := range s.elements {
+		if remove(key) {
+			s.bytes -= s.lru.Remove(e).(storedValue).size
+			delete(s.elements, key)
 		}
 	}
 }
--- a/strict/strict.go
+++ b/strict/strict.go
@@ -1,4 +1,4 @@
-// Package strict reads TOML files in which nothing may be unknown: what is wrong is named by file, line and field.
+// Package strict decodes TOML files and rejects unknown fields. Its errors name the file, the line and the field.
 package strict
 
 import (
@@ -9,33 +9,34 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Decode takes a file's text apart into a struct. An unknown field or a wrong type is an error with its line.
+// Decode decodes TOML text into the struct that into points to. An unknown field or a value of the wrong type is an error that
+// names path, line and field; without a path it names line and field.
 func Decode(path, text string, into any) error {
 	if path != "" {
 		path += ":"
 	}
-	d := toml.NewDecoder(strings.NewReader(text))
-	d.DisallowUnknownFields()
-	err := d.Decode(into)
+	decoder := toml.NewDecoder(strings.NewReader(text))
+	decoder.DisallowUnknownFields()
+	err := decoder.Decode(into)
 	var missing *toml.StrictMissingError
 	var wrong *toml.DecodeError
 	switch {
 	case errors.As(err, &missing):
-		row, _ := missing.Errors[0].Position()
-		return fmt.Errorf("%s%d: %s: unknown field", path, row, strings.Join(missing.Errors[0].Key(), "."))
+		line, _ := missing.Errors[0].Position()
+		return fmt.Errorf("%s%d: %s: unknown field", path, line, strings.Join(missing.Errors[0].Key(), "."))
 	case errors.As(err, &wrong):
-		row, _ := wrong.Position()
-		return fmt.Errorf("%s%d: %s: %s", path, row, strings.Join(wrong.Key(), "."), wrong.Error())
+		line, _ := wrong.Position()
+		return fmt.Errorf("%s%d: %s: %s", path, line, strings.Join(wrong.Key(), "."), wrong.Error())
 	case err != nil:
 		return fmt.Errorf("%s %w", path, err)
 	}
 	return nil
 }
 
-// Lines finds where each field stands, for what is found after decoding: "table.key", or "table[2].key" in the third table of
-// its name.
+// Lines returns the line number of each table and field, for errors that are found after decoding. Keys are "table.key", and
+// "table[2].key" for the third table of an array.
 func Lines(text string) map[string]int {
-	at, table, seen := map[string]int{}, "", map[string]int{}
+	lines, table, seen := map[string]int{}, "", map[string]int{}
 	for i, line := range strings.Split(text, "\n") {
 		line = strings.TrimSpace(line)
 		switch key, _, ok := strings.Cut(line, "="); {
@@ -43,13 +44,13 @@
 			name := strings.Trim(line, "[] ")
 			table = fmt.Sprintf("%s[%d].", name, seen[name])
 			seen[name]++
-			at[strings.TrimSuffix(table, ".")] = i + 1
+			lines[strings.TrimSuffix(table, ".")] = i + 1
 		case strings.HasPrefix(line, "["):
 			table = strings.Trim(line, "[] ") + "."
-			at[strings.TrimSuffix(table, ".")] = i + 1
+			lines[strings.TrimSuffix(table, ".")] = i + 1
 		case ok && !strings.HasPrefix(line, "#"):
-			at[table+strings.TrimSpace(key)] = i + 1
+			lines[table+strings.TrimSpace(key)] = i + 1
 		}
 	}
-	return at
+	return lines
 }
