--- a/lab/run/run.go
+++ b/lab/run/run.go
@@ -1,5 +1,5 @@
-// Package run plays one experiment: it puts the world up, starts the proxies, plays load and faults, ends all that it
-// started, and judges the ledger.
+// Package run executes an experiment: it starts the stand-ins and the proxies, generates the load, injects the faults, ends all
+// processes that it started, and judges the ledger.
 package run
 
 import (
@@ -17,199 +17,241 @@
 	"minttray/lab/world"
 )
 
-// Options is what a run is made of beside its file.
+// Options are the settings of a run beside its experiment.
 type Options struct {
-	Dir     string   // for its results; made if it is not there
-	Command []string // a proxy's program
-	Env     []string
-	Rule    string // what decides in it, for the report
-	Say     func(format string, args ...any)
-	Stop    <-chan struct{}
+	Dir     string                           // of its results; created if missing
+	Command []string                         // that starts a proxy
+	Env     []string                         // added to the environment of the proxies
+	Rule    string                           // name of the decision rule that the proxies use, for the report
+	Logf    func(format string, args ...any) // prints the progress each second; nil: none
+	Stop    <-chan struct{}                  // closed to interrupt the run
 }
 
 const (
-	lateBound  = 5 * time.Millisecond // of the lab itself
-	lateShare  = 0.95                 // of the ops that must be sent within that
-	settleTime = 300 * time.Millisecond
+	maxSendDelay     = 5 * time.Millisecond   // of the laboratory itself, for an op or for the work of a stand-in
+	minPunctualShare = 0.95                   // share of ops and of work within maxSendDelay in a valid run
+	settleTime       = 300 * time.Millisecond // from the start of the proxies to the first op
 )
 
-// Play plays an experiment. An error means that there is nothing to judge; a run that proves nothing has its reasons
-// under Void.
-func Play(x *experiment.File, o Options) (*report.Result, error) {
-	if err := os.MkdirAll(o.Dir, 0o755); err != nil {
+// Execute runs an experiment and writes its results. An error means that there is nothing to judge. A result that proves nothing has
+// its reasons in InvalidReasons.
+func Execute(exp *experiment.File, options Options) (*report.Result, error) {
+	if err := os.MkdirAll(options.Dir, 0o755); err != nil {
 		return nil, err
 	}
-	path := filepath.Join(o.Dir, "ledger.bin")
-	book, err := ledger.Create(path)
+	path := filepath.Join(options.Dir, "ledger.bin")
+	writer, err := ledger.Create(path)
 	if err != nil {
 		return nil, err
 	}
-	w, err := world.New(x, book)
+	w, err := world.New(exp, writer)
 	if err != nil {
-		book.Close()
+		writer.Close()
 		return nil, err
 	}
 	defer w.Close()
-	fill(x, w)
-	f, err := newFleet(x, w, o.Dir, o.Command, o.Env)
-	defer f.stop()
+	prefillCaches(exp, w)
+	proxyFleet, err := newFleet(exp, w, options.Dir, options.Command, options.Env)
+	defer proxyFleet.stopAll()
 	if err != nil {
 		return nil, err
 	}
 	time.Sleep(settleTime)
-	meter := measure.NewMeter(x)
-	front := load.NewBalancer(x, f.proxies)
-	front.Links = w.Ways
-	l := load.NewGenerator(x, front, book, meter, w.Start())
-	from := w.Now()
-	player := faults.New(w, f, from, o.Stop)
-	played := make(chan struct{})
-	go func() { player.Run(); close(played) }()
-	sampled := make(chan struct{})
-	ended := make(chan struct{})
+	meter := measure.NewMeter(exp)
+	balancer := load.NewBalancer(exp, proxyFleet.proxies)
+	balancer.Links = w.Links
+	generator := load.NewGenerator(exp, balancer, writer, meter, w.Start())
+	start := w.Now()
+	player := faults.New(w, proxyFleet, start, options.Stop)
+	faultsDone := make(chan struct{})
+	go func() {
+		player.Run()
+		close(faultsDone)
+	}()
+	samplerDone := make(chan struct{})
+	loadDone := make(chan struct{})
 	var peak measure.Usage
 	go func() {
-		peak = sample(x, w, f, front, meter, from, ended, o.Say)
-		close(sampled)
+		peak = sampleEverySecond(w, proxyFleet, balancer, meter, start, loadDone, options.Logf)
+		close(samplerDone)
 	}()
-	l.Run(from, o.Stop)
-	close(ended)
-	<-sampled
-	cut := false
+	generator.Run(start, options.Stop)
+	close(loadDone)
+	<-samplerDone
+	interrupted := false
 	select {
-	case <-o.Stop:
-		cut = true
+	case <-options.Stop:
+		interrupted = true
 	default:
 	}
-	if cut {
-		<-played
+	if interrupted {
+		<-faultsDone
 	} else {
 		select {
-		case <-played:
-		case <-time.After(longestStop + x.Length.Std()):
+		case <-faultsDone:
+		case <-time.After(stopTimeout + exp.Length.Std()):
 		}
 	}
-	vars := f.vars()
-	f.stop()
-	if !cut {
-		book.Append(ledger.Record{Kind: ledger.RunFinished, At: w.Now()})
+	counters := proxyFleet.counters()
+	proxyFleet.stopAll()
+	if !interrupted {
+		writer.Append(ledger.Record{Kind: ledger.RunFinished, At: w.Now()})
 	}
 	w.Close()
-	records, err := book.Close()
-	r := &report.Result{Name: x.Name, About: x.About, Seed: x.Seed, Rule: o.Rule, Stats: meter.Summarize(), LedgerRecords: records, PeakUsage: peak,
-		LengthSeconds: x.Length.Std().Seconds(), WarmUpSeconds: x.WarmUp.Std().Seconds(), ClientConnsOpened: front.ConnsOpened.Load(), ProxyCounters: vars, ClientConnsRefused: front.ConnsRefused.Load(), OriginFetches: w.Origin.Fetches.Load(), ListBytes: w.Reg.Bytes.Load()}
+	records, err := writer.Close()
+	result := &report.Result{
+		Name:               exp.Name,
+		About:              exp.About,
+		Seed:               exp.Seed,
+		Rule:               options.Rule,
+		Stats:              meter.Summarize(),
+		LedgerRecords:      records,
+		PeakUsage:          peak,
+		LengthSeconds:      exp.Length.Std().Seconds(),
+		WarmUpSeconds:      exp.WarmUp.Std().Seconds(),
+		ClientConnsOpened:  balancer.ConnsOpened.Load(),
+		ProxyCounters:      counters,
+		ClientConnsRefused: balancer.ConnsRefused.Load(),
+		OriginFetches:      w.Origin.Fetches.Load(),
+		ListBytes:          w.Registry.BytesSent.Load(),
+	}
 	if err != nil {
-		r.InvalidReasons = append(r.InvalidReasons, "the ledger's disk: "+err.Error())
+		result.InvalidReasons = append(result.InvalidReasons, "the ledger's disk: "+err.Error())
 	}
-	if cut {
-		r.InvalidReasons = append(r.InvalidReasons, "interrupted")
+	if interrupted {
+		result.InvalidReasons = append(result.InvalidReasons, "interrupted")
 	}
 	for _, c := range w.Caches() {
-		r.CacheConnsRefused += c.Refused.Load()
+		result.CacheConnsRefused += c.RefusedConns.Load()
 	}
 	events, errs := player.Events()
-	r.Events = events
+	result.Events = events
 	for _, e := range errs {
-		r.InvalidReasons = append(r.InvalidReasons, "a fault could not be played: "+e.Error())
+		result.InvalidReasons = append(result.InvalidReasons, "a fault could not be played: "+e.Error())
 	}
-	r.Crashes = f.faults()
-	if r.Stats.SentWithin5ms < lateShare {
-		r.InvalidReasons = append(r.InvalidReasons, fmt.Sprintf("the lab ran late: %.1f%% of the ops were sent within %v of their time, %.0f%% are wanted",
-			100*r.Stats.SentWithin5ms, lateBound, 100*lateShare))
+	result.Crashes = proxyFleet.crashReports()
+	if result.Stats.SentWithin5ms < minPunctualShare {
+		result.InvalidReasons = append(result.InvalidReasons, fmt.Sprintf(
+			"the lab ran late: %.1f%% of the ops were sent within %v of their time, %.0f%% are wanted",
+			100*result.Stats.SentWithin5ms, maxSendDelay, 100*minPunctualShare))
 	}
-	if r.StandInLateShare = w.Stalled(); r.StandInLateShare > 1-lateShare {
-		r.InvalidReasons = append(r.InvalidReasons, fmt.Sprintf("stand-ins stalled: %.1f%% of their work ended over %v late", 100*r.StandInLateShare, lateBound))
+	if result.StandInLateShare = w.LateWorkShare(); result.StandInLateShare > 1-minPunctualShare {
+		result.InvalidReasons = append(result.InvalidReasons, fmt.Sprintf(
+			"stand-ins stalled: %.1f%% of their work ended over %v late", 100*result.StandInLateShare, maxSendDelay))
 	}
-	if r.Stats.UnsentOps > 0 {
-		r.InvalidReasons = append(r.InvalidReasons, fmt.Sprintf("%d ops could not be sent: too many were out", r.Stats.UnsentOps))
+	if result.Stats.UnsentOps > 0 {
+		result.InvalidReasons = append(result.InvalidReasons, fmt.Sprintf("%d ops could not be sent: too many were out", result.Stats.UnsentOps))
 	}
-	if r.Verdict, err = Judge(path, x, w.Zones()); err != nil {
-		return r, err
+	if result.Verdict, err = Judge(path, exp, w.Zones()); err != nil {
+		return result, err
 	}
-	return r, r.Write(o.Dir)
+	return result, result.Write(options.Dir)
 }
 
-// Judge reads a ledger and gives the verdict on the rules.
-func Judge(path string, x *experiment.File, zones map[uint32]int) (*ledger.Verdict, error) {
+// Judge reads a ledger and returns the verdict on the rules. zones maps server numbers to zone indexes; nil: unknown.
+func Judge(path string, exp *experiment.File, zones map[uint32]int) (*ledger.Verdict, error) {
 	in, err := os.Open(path)
 	if err != nil {
 		return nil, err
 	}
 	defer in.Close()
-	t := ledger.RuleParams{ServerZone: zones, DrainGrace: x.Rules.Grace.Std(), OverloadFactor: x.Rules.FallMultiple, OverloadWindow: x.Rules.TipAfter.Std(),
-		ColdCapacityShare: x.Caches.ColdFrom, WarmUp: x.Caches.WarmUp.Std(), MaxPushes: x.Rules.MostPushes, AllowConcurrentPushes: x.Rules.TwoAtOnce,
-		Slack: x.Rules.Slack.Std()}
-	for _, c := range x.Categories {
-		held := x.Rules.Held.Std()
-		if held == 0 {
-			held = c.TTL.Std() / 2
+	params := ledger.RuleParams{
+		ServerZone:            zones,
+		DrainGrace:            exp.Rules.DrainGrace.Std(),
+		OverloadFactor:        exp.Rules.OverloadFactor,
+		OverloadWindow:        exp.Rules.OverloadWindow.Std(),
+		ColdCapacityShare:     exp.Caches.ColdCapacityShare,
+		WarmUp:                exp.Caches.WarmUp.Std(),
+		MaxPushes:             exp.Rules.MaxPushes,
+		AllowConcurrentPushes: exp.Rules.AllowConcurrentPushes,
+		Slack:                 exp.Rules.Slack.Std(),
+	}
+	for _, c := range exp.Categories {
+		maxRefusalDelay := exp.Rules.MaxRefusalDelay.Std()
+		if maxRefusalDelay == 0 {
+			maxRefusalDelay = c.TTL.Std() / 2
 		}
-		t.Categories = append(t.Categories, ledger.Category{TTL: c.TTL.Std(), DedupWindow: c.DedupWindow.Std(), Effect: c.Effect, ZoneScopedDedup: c.DedupGroup == "zone",
-			MaxRefusalDelay: held})
+		params.Categories = append(params.Categories, ledger.Category{
+			TTL:             c.TTL.Std(),
+			DedupWindow:     c.DedupWindow.Std(),
+			Effect:          c.Effect,
+			ZoneScopedDedup: c.DedupGroup == "zone",
+			MaxRefusalDelay: maxRefusalDelay,
+		})
 	}
-	j := ledger.NewJudge(t)
-	if err := ledger.Read(in, j.Add); err != nil {
+	judge := ledger.NewJudge(params)
+	if err := ledger.Read(in, judge.Add); err != nil {
 		return nil, err
 	}
-	return j.Finish(), nil
+	return judge.Finish(), nil
 }
 
-// fill lets every cache hold the most asked keys, as many as it has room for. Which of them a proxy would ask for a
-// key is not known here: the rest comes in the run's first seconds.
-func fill(x *experiment.File, w *world.World) {
-	if !x.Caches.Full {
+// prefillCaches stores the most requested keys in every cache, as many as it has room for. Which cache the proxies select for a key is
+// not known here; the caches adapt in the first seconds of the run.
+func prefillCaches(exp *experiment.File, w *world.World) {
+	if !exp.Caches.Prefilled {
 		return
 	}
 	size := 0
-	for _, c := range x.Categories {
+	for _, c := range exp.Categories {
 		size = max(size, c.Size)
 	}
-	room := int(x.Caches.MemoryMB * (1 << 20) / float64(size))
+	keysPerCache := int(exp.Caches.MemoryMB * (1 << 20) / float64(size))
 	for _, c := range w.Caches() {
-		for rank := min(room, x.Keys.Count) - 1; rank >= 0; rank-- {
-			c.Fill(fmt.Sprintf("%016x", load.KeyOf(x, uint64(rank), 0)), size)
+		for rank := min(keysPerCache, exp.Keys.Count) - 1; rank >= 0; rank-- {
+			c.Prefill(fmt.Sprintf("%016x", load.KeyOf(exp, uint64(rank), 0)), size)
 		}
 	}
 }
 
-// sample takes figures each second.
-func sample(x *experiment.File, w *world.World, f *fleet, front *load.Balancer, m *measure.Meter, from time.Duration,
-	ended <-chan struct{}, say func(string, ...any)) (peak measure.Usage) {
-	clock := time.NewTicker(time.Second)
-	defer clock.Stop()
-	fetches, opened, last := w.Origin.Fetches.Load(), front.ConnsOpened.Load(), f.use()
+// sampleEverySecond adds samples of the stand-ins and the proxies to the meter until loadDone is closed, and returns the peak usage of a
+// proxy and the CPU seconds of all.
+func sampleEverySecond(w *world.World, proxyFleet *fleet, balancer *load.Balancer, meter *measure.Meter, start time.Duration,
+	loadDone <-chan struct{}, logf func(string, ...any)) (peak measure.Usage) {
+	ticker := time.NewTicker(time.Second)
+	defer ticker.Stop()
+	fetches := w.Origin.Fetches.Load()
+	opened := balancer.ConnsOpened.Load()
+	previous := proxyFleet.processUsage()
 	for {
 		select {
-		case <-ended:
+		case <-loadDone:
 			return peak
-		case <-clock.C:
+		case <-ticker.C:
 		}
-		at := w.Now() - from - time.Second/2
-		cpu, memory, conns, waiting := 0.0, 0.0, 0, 0
-		now := f.use()
-		for i, u := range now {
-			if u.CPU >= last[i].CPU {
-				cpu += u.CPU - last[i].CPU
+		elapsed := w.Now() - start - time.Second/2 // middle of the sampled second
+		cpu, memory := 0.0, 0.0                    // CPU seconds, MB
+		conns, queued := 0, 0
+		usage := proxyFleet.processUsage()
+		for i, u := range usage {
+			if u.CPU >= previous[i].CPU {
+				cpu += u.CPU - previous[i].CPU
 			}
 			memory += u.MemoryMB
 			peak.MemoryMB = max(peak.MemoryMB, u.MemoryMB)
 			peak.Descriptors = max(peak.Descriptors, u.Descriptors)
 		}
-		last = now
+		previous = usage
 		peak.CPU += cpu
 		for _, c := range w.Caches() {
 			conns += c.Connections()
-			waiting += c.Waiting()
+			queued += c.QueuedRequests()
 		}
-		nf, no := w.Origin.Fetches.Load(), front.ConnsOpened.Load()
-		m.UpdateSecond(at, func(s *measure.Second) {
-			s.Fetches, s.ConnsOpened, s.Conns, s.QueuedRequests, s.CPU, s.MemoryMB = nf-fetches, no-opened, conns, waiting, cpu, memory
+		fetchesNow := w.Origin.Fetches.Load()
+		openedNow := balancer.ConnsOpened.Load()
+		meter.UpdateSecond(elapsed, func(s *measure.Second) {
+			s.Fetches = fetchesNow - fetches
+			s.ConnsOpened = openedNow - opened
+			s.Conns = conns
+			s.QueuedRequests = queued
+			s.CPU = cpu
+			s.MemoryMB = memory
 		})
-		if say != nil {
-			ops, service := m.RecentService(at)
-			say("%3.0f s  %5d ops  %5.1f%% in time  %4d fetches  %4d connections  %.2f cores", at.Seconds()+0.5, ops, 100*service,
-				nf-fetches, conns, cpu)
+		if logf != nil {
+			ops, service := meter.RecentService(elapsed)
+			logf("%3.0f s  %5d ops  %5.1f%% in time  %4d fetches  %4d connections  %.2f cores", elapsed.Seconds()+0.5, ops, 100*service,
+				fetchesNow-fetches, conns, cpu)
 		}
-		fetches, opened = nf, no
+		fetches, opened = fetchesNow, openedNow
 	}
 }
