--- a/decide/site/allocation.go
+++ b/decide/site/allocation.go
@@ -9,7 +9,7 @@
 	"slices"
 )
 
-// WorkClass is a class of ops that is shed as one: the hits or the fetches of a category, within the tenants' quotas or beyond.
+// WorkClass is a group of ops that get the same served share, such as the hits of a category within the tenants' quotas.
 type WorkClass struct {
 	Rate    float64 // ops per second
 	Benefit float64 // of one op
@@ -17,20 +17,21 @@
 	Fetches float64 // origin fetches that one op takes
 }
 
-// Capacity is a rate of cache work and origin fetches: what is available, or what is needed.
+// Capacity is a rate of cache work and a rate of origin fetches: those available, or those needed to serve some ops.
 type Capacity struct {
 	Work    float64 // core seconds per second
 	Fetches float64 // per second
 }
 
-// tolerance is the relative difference up to which two figures count as equal.
+// tolerance is the relative difference up to which two values count as equal. When total benefits are compared, it is added as
+// an absolute difference too, in units of benefit per second.
 const tolerance = 1e-9
 
 // Allocate returns the share of each class that is served, 0 to 1, so that the total benefit is the highest that the capacity
-// allows, and the indexes of the classes in the order in which they are shed. Classes with the same benefit for their cost are
-// shed in the same proportion. With two scarce resources the order depends on the price of a fetch relative to that of a core
-// second, so it tries each price at which the order changes. The prices grow with the square of the number of classes; 64
-// classes are the intended limit.
+// allows, and the indexes of the classes in the order in which they are shed. Classes with the same benefit per cost are shed in
+// the same proportion, until one of the two resources is used up. With two scarce resources the order depends on the price of a
+// fetch relative to that of a core second, so it tries each price at which the order changes. The number of prices grows with
+// the square of the number of classes: the function is meant for at most 64 classes, which it does not check.
 func Allocate(classes []WorkClass, capacity Capacity) (served []float64, order []int) {
 	best := -1.0
 	for _, price := range fetchPrices(classes) {
@@ -85,7 +86,7 @@
 }
 
 // allocateAt serves the classes by falling benefit per cost until the capacity is used up. Classes of equal benefit per cost
-// get the same share.
+// first get the same share; what then remains of a resource goes to those of them that can use it, in their order.
 func allocateAt(fetchPrice float64, classes []WorkClass, capacity Capacity) (served []float64, sheddingOrder []int) {
 	served = make([]float64, len(classes))
 	order := make([]int, len(classes))
@@ -112,7 +113,7 @@
 		}
 		capacity.Work = max(capacity.Work-share*need.Work, 0)
 		capacity.Fetches = max(capacity.Fetches-share*need.Fetches, 0)
-		// One of the two resources may be left over: classes of the group that need only this one take it in turn.
+		// One of the two resources may be left over: classes of the group that need no other get it, one after the other.
 		for _, i := range order[from:to] {
 			c := classes[i]
 			extra := min(1-served[i], coverage(capacity.Work, c.Rate*c.Work), coverage(capacity.Fetches, c.Rate*c.Fetches))
--- a/decide/site/deployment.go
+++ b/decide/site/deployment.go
@@ -11,12 +11,12 @@
 // Category is a kind of op.
 type Category struct {
 	Name            string
-	Share           float64 // of all ops
+	Share           float64 // of all ops, 0 to 1
 	Benefit         float64 // of one op that is answered in time
 	Work            float64 // core seconds that a hit takes at a cache
 	Write           bool    // each op goes to the origin, whether or not the key is cached
 	OverQuotaShare  float64 // share of its ops that are beyond their tenants' quotas
-	OverQuotaFactor float64 // part of the benefit that such an op keeps
+	OverQuotaFactor float64 // factor on the benefit of such an op
 }
 
 // Cache is one cache as discovery lists it.
@@ -37,9 +37,9 @@
 
 // Contract is what the caches guarantee about cold starts and overload.
 type Contract struct {
-	ColdFrom     float64 // share of its capacity that a cache has at its start
-	WarmUp       float64 // seconds from its start until it has all
-	FallMultiple float64 // multiple of its current capacity that makes a cache fail if pushed to it for TipAfter
+	ColdFrom     float64 // share of its capacity, 0 to 1, that a cache has at its start
+	WarmUp       float64 // seconds from its start until it has its whole capacity
+	FallMultiple float64 // load, as a multiple of its current capacity, at which a cache fails after TipAfter
 	TipAfter     float64 // seconds
 }
 
@@ -51,12 +51,12 @@
 	Contract
 	OriginSite    int     // index in Sites
 	OriginFetches float64 // per second that the origin can serve
-	MissWorkRatio float64 // work of a miss at a cache, as a part of a hit's
+	MissWorkRatio float64 // work of a miss at a cache as a multiple of that of a hit
 	HitRatio      float64 // share of reads that hit with all caches present and warm
 	KeyCount      float64
 	ZipfExponent  float64 // of the keys' popularity
-	ZipfOffset    float64 // added to each rank: about so many of the most popular keys are alike
-	UsableShare   float64 // share of the caches' work that a plan may use
+	ZipfOffset    float64 // added to each rank: about so many of the most popular keys are equally popular
+	UsableShare   float64 // share of the caches' cores that a plan may use, 0.01 to 1
 }
 
 // Limits of the input, and of the search for a placement.
@@ -73,7 +73,7 @@
 	minDivisor     = 1e-12 // keeps quotients of shares finite
 )
 
-// Check returns an error that names each figure out of range.
+// Check returns an error that names each value out of range.
 func (d *Deployment) Check() error {
 	check := func(name string, v, low, high float64) error {
 		if !(v >= low && v <= high) {
--- a/decide/site/load_shedder.go
+++ b/decide/site/load_shedder.go
@@ -4,16 +4,16 @@
 // zero value has observed none.
 type LoadShedder struct {
 	classes     []WorkClass
-	admitted    []float64 // share of each class, as last computed
+	admitted    []float64 // share of each class's ops to admit, 0 to 1, as last computed
 	computedFor float64   // share of all ops that admitted was computed for
 }
 
 const (
-	// recomputeStep is the change of the share that can be served from which the allocation is computed anew.
+	// recomputeStep is by how much the share that can be served must differ from that of the last allocation to cause another.
 	recomputeStep = 1.0 / 32
-	// rateWindowOps is the number of ops over which observed rates decay.
+	// rateWindowOps is the number of ops after which the weight of an observed op has fallen to 1/e.
 	rateWindowOps = 256
-	// minAdmitted is the share of a class that is admitted at all times, so that the outcome of its ops stays observable.
+	// minAdmitted is the smallest share of an observed class that is admitted, so that the outcome of its ops stays observable.
 	minAdmitted = 1.0 / 64
 )
 
@@ -25,7 +25,8 @@
 	return 2 * category
 }
 
-// Observe counts an op that has arrived, with its benefit.
+// Observe counts an op that has arrived. Its benefit becomes that of its class. Only the ratios of the classes' rates and work
+// matter: here an op counts as one unit of work, and a rate is a decaying count of ops.
 func (s *LoadShedder) Observe(category int, overQuota bool, benefit float64) {
 	class := classIndex(category, overQuota)
 	for len(s.classes) <= class {
@@ -38,7 +39,8 @@
 	s.classes[class].Benefit = benefit
 }
 
-// AdmitShare returns the share of such ops to admit when servable, 0 to 1, is the share of all ops that can be served.
+// AdmitShare returns the share of a category's ops, within or beyond their tenants' quotas, to admit when servable, 0 to 1, is
+// the share of all ops that can be served.
 func (s *LoadShedder) AdmitShare(category int, overQuota bool, servable float64) float64 {
 	class := classIndex(category, overQuota)
 	if servable >= 1 || class >= len(s.classes) {
--- a/decide/site/plan.go
+++ b/decide/site/plan.go
@@ -6,10 +6,10 @@
 	"slices"
 )
 
-// Loss is a case to plan for: the loss of sites, or a network partition between one site and all others.
+// Loss is a case to plan for: the loss of sites, or a network partition between some sites and all others.
 type Loss struct {
 	Sites []int
-	Cut   bool // the sites still run, cut off from all others; the plan covers the sites that are cut off
+	Cut   bool // the sites still run and reach each other, but no other site; the plan covers these sites
 }
 
 // Phase is one part of a loss and what can be served in it. Rates are per second.
@@ -39,9 +39,9 @@
 	MovedKeyShare    float64     `json:"Moved"`  // share of all keys that move to another cache
 	CacheKeyShares   []float64   `json:"Load"`   // share of all keys at each remaining cache
 	SiteOpRates      []float64   `json:"Ops"`    // ops per second at each site's proxies, once clients have moved
-	CrossSiteOpRates [][]float64 `json:"Across"` // ops per second from the proxies of a site (first index) to the caches of another
+	CrossSiteOpRates [][]float64 `json:"Across"` // ops per second from the proxies of a site (first index) to the caches of a site, itself included
 	Phases           [3]Phase    // at once, with the moved keys not cached; settled, once the origin has refilled them; return
-	RefillSeconds    float64     `json:"Filled"` // until the moved keys are refilled, at best, by the fetches beyond the steady rate
+	RefillSeconds    float64     `json:"Filled"` // until the moved keys are refilled, at best; 0: none to refill; +Inf: not within maxRefillSeconds
 	Steps            []Step      // of the return
 	ReturnSeconds    float64     `json:"Returns"` // from the caches' return until all is as before, at best
 }
@@ -54,18 +54,21 @@
 )
 
 const (
-	// maxColdPushShare is the part of the load that makes a cold cache fail that the proxies of a fleet together may push to it.
+	// maxColdPushShare limits what all proxies together push to a cold cache, as a part of the load at which it fails.
 	maxColdPushShare = 0.7
-	returnSteps      = 4
+	// returnSteps is the number of intervals of the return. There is a Step at the start of each, and one at the end.
+	returnSteps = 4
 
 	maxRefillSeconds  = 600.0 // how far a plan looks ahead
 	refillTickSeconds = 0.1
-	// unfilledShare of the moved keys' reads may still miss when a refill counts as done, where the steady rate is next to nothing.
+	// unfilledShare is the share of the initial misses at which a refill counts as done, if that is more than the steady rate of
+	// fetches.
 	unfilledShare = 0.1
 )
 
 // For returns the plan for a loss.
 func (d *Deployment) For(l Loss) Plan {
+	// A site is gone if the plan does not cover it: it is lost, or it is on the other side of the partition.
 	gone := func(site int) bool { return slices.Contains(l.Sites, site) != l.Cut }
 	p := Plan{Cut: l.Cut, SiteOpRates: make([]float64, len(d.Sites)), CrossSiteOpRates: make([][]float64, len(d.Sites))}
 	for _, s := range l.Sites {
@@ -212,8 +215,8 @@
 	return p
 }
 
-// planRefill estimates how soon the origin can refill the moved keys. Fetches beyond the steady rate go to keys that are not
-// cached, as clients ask for them: each brings back the popularity of a key drawn by popularity from those still missing.
+// planRefill estimates how soon the origin can refill the moved keys, with the fetches beyond the steady rate. Such a fetch is
+// for a missing key, chosen with a probability proportional to its popularity, and lowers the share of misses by its popularity.
 func (p *Plan) planRefill(d *Deployment, opRate, coldHits, settledHits float64, capacity Capacity) {
 	if capacity.Work == 0 || capacity.Fetches == 0 {
 		p.RefillSeconds = math.Inf(1)
@@ -238,8 +241,8 @@
 			p.RefillSeconds = at
 			return
 		}
-		// The keys still missing are approximately the less popular ones. The popularity that a fetch brings back is their mean,
-		// drawn by popularity.
+		// The keys still missing are approximately the less popular ones. A fetch lowers the share of misses by the mean of their
+		// popularities, weighted by popularity.
 		for rank < keys && 1-d.TopKeysShare(rank)/d.TopKeysShare(keys) > misses/initialMisses {
 			rank = rank*1.1 + 1
 		}
@@ -254,7 +257,7 @@
 }
 
 // planReturn paces the return: pushes to a cold cache stay below the load that makes it fail, and its keys return as it warms.
-// The time until it is filled is about that of the refill at the loss.
+// A returned cache takes about as long to be filled as the refill after the loss.
 func (p *Plan) planReturn(d *Deployment) {
 	for n := range returnSteps + 1 {
 		progress := float64(n) / returnSteps
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -21,8 +21,8 @@
 	Discovery string // address of the discovery service, host:port
 	Control   string // address for operators' calls, host:port; empty: none
 	Seed      uint64
-	Cores     float64         // limit of CPU cores; 0: none
-	MemoryMB  int             // limit of memory; 0: none
+	Cores     float64         // limit of CPU cores; 0: not set
+	MemoryMB  int             // limit of memory in MiB; 0: not set
 	Sockets   int             // limit of open sockets
 	Known     json.RawMessage // last known cache list, in the format of discovery
 	Settings  settings.Settings
--- a/internal/daemon/coordinator.go
+++ b/internal/daemon/coordinator.go
@@ -25,23 +25,24 @@
 	listenFor = 450 * time.Millisecond
 	// listenForWithSuccessor is how long clients may still connect to this process if a successor listens.
 	listenForWithSuccessor = 50 * time.Millisecond
-	// acceptCommandsFor is how long commands are accepted after SIGTERM. Later ones need not be answered in time.
+	// acceptCommandsFor is how long commands are accepted after SIGTERM. Later ones may be left without an answer.
 	acceptCommandsFor = 620 * time.Millisecond
-	// ttlMargin is the time past the longest TTL, after SIGTERM, when open ops are answered. SIGKILL may follow soon.
+	// ttlMargin is added to the longest TTL: ops that are still open so long after SIGTERM are answered by the proxy itself, since
+	// SIGKILL may follow soon.
 	ttlMargin = 550 * time.Millisecond
-	// closeInformedAfter is the time from the first failing PING until clients that have not disconnected by themselves
-	// are disconnected.
+	// closeInformedAfter is the time from the first failing PING reply until clients are disconnected that have sent PING
+	// since or have had the time to.
 	closeInformedAfter = 1200 * time.Millisecond
 )
 
 const (
-	// callTimeout limits the wait for the engine in an operator's call.
+	// callTimeout limits the wait for the engine in an operator's call, a poll, a handover or a periodic snapshot.
 	callTimeout = 700 * time.Millisecond
 	// pollInterval is the time between two looks at the override file, which another process may have changed, and at
 	// the engine's statistics.
 	pollInterval = 25 * time.Millisecond
-	// rolePolls is the number of polls between two checks for another process.
-	rolePolls = 4
+	// peerCheckPolls is the number of polls from one check for another process at the same address to the next.
+	peerCheckPolls = 4
 	// lameDuckInterval is the time between two updates of the front end while clients are told to leave.
 	lameDuckInterval = 20 * time.Millisecond
 )
@@ -54,7 +55,7 @@
 	metrics     *figures.Metrics
 	log         zerolog.Logger
 	startedAt   time.Time
-	applyLimits func(shared bool) // sets the resource limits of one process, or of one of two
+	applyLimits func(shared bool) // sets the resource limits; if shared, another process gets half of them
 	zones       []string          // names, by number
 	localZone   int               // number of this proxy's zone
 
@@ -62,7 +63,7 @@
 	fileMu              sync.Mutex
 	settingsFingerprint string // of the settings in force
 	store               *state.Store
-	limitsShared        bool // another process has a part of the limits
+	limitsShared        bool // another process has half of the limits
 	polls               int
 
 	// mu guards the fields below it.
@@ -106,15 +107,15 @@
 			return c.machine.Ready()
 		},
 		WriteMetrics: func(w io.Writer) { c.metrics.Write(w) },
-		DetachCache:  c.setCacheOut,
+		DetachCache:  c.setCacheDetached,
 		SetLameDuck:  c.setLameDuck,
-		DetachSite:   c.setSiteOut,
+		DetachSite:   c.setSiteDetached,
 	}}
 	go server.Serve(listener)
 	return server, nil
 }
 
-// markListening records that the front end listens. LameDuck tells that the process starts as a lame duck.
+// markListening records that the front end listens. If lameDuck is set, the process starts as a lame duck.
 func (c *coordinator) markListening(lameDuck bool) {
 	c.mu.Lock()
 	c.machine.MarkListening(c.now(), lameDuck)
@@ -125,8 +126,8 @@
 	}
 }
 
-// isServing reports whether the front end has begun to listen.
-func (c *coordinator) isServing() bool {
+// hasListened reports whether the front end has begun to listen. It stays true when the process stops listening.
+func (c *coordinator) hasListened() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.machine.State() > lifecycle.Starting
@@ -154,7 +155,7 @@
 	c.fileMu.Lock()
 	defer c.fileMu.Unlock()
 	c.polls++
-	if c.polls%rolePolls == 0 {
+	if c.polls%peerCheckPolls == 0 {
 		c.updateRoles()
 	}
 	c.applyStoredOverrides()
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -38,7 +38,7 @@
 	expiryInterval = time.Second
 	// engineTimeout limits the wait for the engine to apply settings or to log its counters.
 	engineTimeout = time.Second
-	// finalSnapshotTimeout limits the last snapshot of the learned state at exit.
+	// finalSnapshotTimeout limits the wait for the engine's learned state in the last snapshot at exit.
 	finalSnapshotTimeout = 200 * time.Millisecond
 	// forcedExitGrace is the time past the shutdown's own limits after which a stuck process is ended by force.
 	forcedExitGrace = 2 * time.Second
@@ -55,11 +55,11 @@
 type (
 	// Module makes the routing decisions.
 	Module = engine.Module
-	// ModuleFactory creates the module of an engine, which is its host.
+	// ModuleFactory creates the decision module of an engine. The engine is h, the module's host.
 	ModuleFactory = func(s policy.Settings, seed uint64, h policy.Host) Module
 )
 
-// Main runs one proxy until SIGTERM or SIGINT. OperatorsPath is the path of the operators' file; if it is empty, the
+// Main runs one proxy until SIGTERM or SIGINT. operatorsPath is the path of the operators' file; if it is empty, the
 // environment may name one.
 func Main(newModule ModuleFactory, operatorsPath string) error {
 	signals := make(chan os.Signal, 8)
@@ -73,9 +73,9 @@
 	return run(getenv, signals, os.Stderr, newModule)
 }
 
-// finalSnapshotWait limits the wait at exit for the snapshot writer: a disk that does not answer must not hold up the
+// snapshotWriterExitWait limits the wait at exit for the snapshot writer: a disk that does not answer must not hold up the
 // process.
-var finalSnapshotWait = finalSnapshotTimeout
+var snapshotWriterExitWait = finalSnapshotTimeout
 
 // forceExit ends a process that does not exit by itself.
 var forceExit = func() { os.Exit(exitStuck) }
@@ -99,9 +99,9 @@
 	if conf.Cores > 0 {
 		runtime.GOMAXPROCS(max(int(conf.Cores+0.5), 1))
 	}
-	memory := int64(conf.MemoryMB) << 20 // bytes
-	if memory == 0 {
-		memory = defaultMemory
+	memoryBytes := int64(conf.MemoryMB) << 20
+	if memoryBytes == 0 {
+		memoryBytes = defaultMemory
 	}
 	log, sink := logs.New(logOutput, getenv("MINTTRAY_LOG"))
 	defer sink.Close()
@@ -110,7 +110,8 @@
 	s := conf.Settings
 	metrics := figures.New()
 	pools := &pool.Shared{OnAttemptWritten: metrics.Attempts.Inc, DialTimeout: dialTimeout(s), IdleTimeout: s.IdleServer, Log: log}
-	// Operators' overrides outlive the process. Without a control port nobody can set them, and no process takes over.
+	// Operators' overrides outlive the process. Without a control address there are no operators' calls and no other process
+	// takes over, so nothing has to be stored.
 	var store *state.Store
 	if conf.Control != "" {
 		store = state.Open(cmp.Or(getenv("TMPDIR"), os.TempDir()), conf.Name, conf.Listen)
@@ -138,7 +139,7 @@
 		Module:       newModule,
 		Logger:       log,
 		MaxOps:       maxOps(s),
-		MaxBytes:     memory / 8,
+		MaxBytes:     memoryBytes / 8,
 		Connect: func(m engine.Member) engine.Server {
 			if m.Kind == s.Policy.OriginKind {
 				return pool.New(pools, m.Addr, origin.Protocol{Host: m.Addr})
@@ -162,8 +163,8 @@
 		Engine:            eng,
 		Names:             front.NewNameTable(s, metrics),
 		Metrics:           metrics,
-		MaxPendingBytes:   memory / 8,
-		MaxLongValueBytes: memory / 4,
+		MaxPendingBytes:   memoryBytes / 8,
+		MaxLongValueBytes: memoryBytes / 4,
 		Log:               log,
 		Pulse:             stallMonitor,
 	}
@@ -172,6 +173,7 @@
 	metrics.RegisterGauge("svc_engine_lag_ms", func() float64 { return eng.Lag().Seconds() * 1000 })
 	metrics.RegisterGauge("svc_engine_longest_event_ms", func() float64 { return float64(metrics.MaxEventMicroseconds.Load()) / 1000 })
 	metrics.RegisterGauge("svc_evicted", func() float64 { return float64(frontEnd.Evicted()) })
+	// Half of the sockets are for clients and 3/8 for servers. The rest, and a quarter of the memory, are a reserve.
 	coordinator.applyLimits = func(shared bool) {
 		processes := 1
 		if shared {
@@ -180,7 +182,7 @@
 		frontEnd.MaxConns.Store(int64(conf.Sockets / 2 / processes))
 		pools.MaxConnections.Store(int64(conf.Sockets * 3 / 8 / processes))
 		if conf.MemoryMB > 0 {
-			debug.SetMemoryLimit(memory * 3 / 4 / int64(processes))
+			debug.SetMemoryLimit(memoryBytes * 3 / 4 / int64(processes))
 		}
 	}
 	coordinator.applyLimits(false)
@@ -204,7 +206,7 @@
 	go eng.Run(stopEngine)
 	go watcher.Run(ctx)
 	go runEvery(ctx, expiryInterval, func() { pools.CloseExpired(time.Now()) })
-	coordinator.markListening(overrides.DrainClients) // before the first PING is read
+	coordinator.markListening(overrides.DrainClients) // before Serve, so that the first PING gets the right reply
 	go frontEnd.Serve()
 	if conf.Control != "" {
 		go runEvery(ctx, pollInterval, coordinator.poll)
@@ -280,7 +282,7 @@
 	pools.CloseIdle()
 	select {
 	case <-snapshotsDone:
-	case <-time.After(finalSnapshotWait):
+	case <-time.After(snapshotWriterExitWait):
 	}
 	close(stopEngine)
 	log.Info().Msg("stopped")
@@ -312,7 +314,7 @@
 	return stopAgain
 }
 
-// dialTimeout returns how long a connection to a cache may take to be established.
+// dialTimeout returns how long a connection to a cache or the origin may take to be established.
 func dialTimeout(s settings.Settings) time.Duration {
 	return cmp.Or(s.ConnectTimeout, defaultDialTimeout)
 }
--- a/internal/daemon/handover.go
+++ b/internal/daemon/handover.go
@@ -10,7 +10,7 @@
 // handoverTimeout limits the new process's wait for the old one's handover.
 const handoverTimeout = 500 * time.Millisecond
 
-// updateRoles finds out whether another process serves the same address. If so, each process gets a part of the limits.
+// updateRoles finds out whether another process serves the same address. If so, each process gets half of the limits.
 // The caller holds fileMu.
 func (c *coordinator) updateRoles() {
 	shared := false
@@ -22,7 +22,7 @@
 		shared = true
 	}
 	if shared != c.limitsShared {
-		if c.limitsShared = shared; shared && c.isServing() {
+		if c.limitsShared = shared; shared && c.hasListened() {
 			c.sendHandover()
 		}
 		c.applyLimits(shared)
@@ -30,8 +30,8 @@
 	}
 }
 
-// sendHandover hands the learned state, and half of what may be sent to caches, over to the new process. The caller
-// holds fileMu.
+// sendHandover hands over the learned state, and half of this process's allowance for sending to caches, to the new process.
+// The caller holds fileMu.
 func (c *coordinator) sendHandover() {
 	learned, err := c.engine.Handover(callTimeout)
 	if err == nil {
--- a/internal/daemon/overrides.go
+++ b/internal/daemon/overrides.go
@@ -10,7 +10,7 @@
 	"minttray/internal/state"
 )
 
-// followTime is the time in which another process has polled the override file as well.
+// followTime is how long a call waits for another process to poll the override file and apply it too.
 const followTime = 3 * pollInterval
 
 // loadOverrides returns the overrides that operators set in an earlier process. If they can't be read there are none.
@@ -41,9 +41,9 @@
 }
 
 // change applies an operator's change with do, stores it with update, and waits until another process has followed. If
-// it can't be stored it is undone, so that a failed call changes nothing. FileMu is held over both steps: a poll between
-// them would take the file, which lacks the change yet, for newer, and let in a cache whose operator has just been told
-// that it is out.
+// it can't be stored it is undone, so that a failed call changes nothing. It holds fileMu over both steps: a poll between
+// them would take the file, which lacks the change yet, for newer, and attach a cache again whose operator has just been
+// told that it is detached.
 func (c *coordinator) change(do, undo func() error, update func(*state.Overrides)) error {
 	c.fileMu.Lock()
 	if err := do(); err != nil {
@@ -63,11 +63,11 @@
 	return err
 }
 
-// setCacheOut takes the cache with this id out of service, or back in.
-func (c *coordinator) setCacheOut(id string, out bool) error {
-	apply := func(out bool) func() error {
+// setCacheDetached detaches the cache with this id, or attaches it again.
+func (c *coordinator) setCacheDetached(id string, detached bool) error {
+	apply := func(detached bool) func() error {
 		return func() error {
-			switch err := c.engine.SetCacheOut(id, out, callTimeout); {
+			switch err := c.engine.SetCacheOut(id, detached, callTimeout); {
 			case errors.Is(err, engine.ErrUnknown):
 				return control.ErrUnknownID
 			case errors.Is(err, engine.ErrBusy):
@@ -77,10 +77,10 @@
 			}
 		}
 	}
-	return c.change(apply(out), apply(!out), func(overrides *state.Overrides) {
+	return c.change(apply(detached), apply(!detached), func(overrides *state.Overrides) {
 		countBefore := len(overrides.CachesOut)
 		overrides.CachesOut = slices.DeleteFunc(overrides.CachesOut, func(other string) bool { return other == id })
-		if out {
+		if detached {
 			overrides.CachesOut = append(overrides.CachesOut, id)
 		} else if len(overrides.CachesOut) < countBefore {
 			if overrides.ReturnedAt == nil {
@@ -108,21 +108,21 @@
 	return byZone
 }
 
-// setSiteOut takes a whole site out of service, or back in: its caches one after another over a duration, and the
-// clients of this proxy if it stands there.
-func (c *coordinator) setSiteOut(name string, out bool, over time.Duration) error {
+// setSiteDetached detaches a whole site, or attaches it again: its caches one after another over a duration, and the
+// clients of this proxy if it belongs to the site.
+func (c *coordinator) setSiteDetached(name string, detached bool, over time.Duration) error {
 	zone := slices.Index(c.zones, name)
 	if zone < 0 {
 		return control.ErrUnknownID
 	}
 	var before state.Overrides
-	override := state.SiteOverride{Out: out, At: time.Now(), Over: over}
+	override := state.SiteOverride{Out: detached, At: time.Now(), Over: over}
 	c.mu.Lock()
 	wasLameDuck := !c.machine.Healthy()
 	c.mu.Unlock()
 	do := func() error {
 		before, _ = c.store.Peek() // stored overrides that can't be read are replaced
-		if current, found := before.Sites[name]; found && current.Out == out {
+		if current, found := before.Sites[name]; found && current.Out == detached {
 			override = current // a repeated call changes nothing: it must not restart the rollout
 		}
 		err := c.engine.SetSite(zone, engine.SiteOverride(override), callTimeout)
@@ -134,7 +134,7 @@
 		case errors.Is(err, engine.ErrBusy):
 			return control.ErrTimeout
 		case err == nil && zone == c.localZone:
-			err = c.applyLameDuck(out)
+			err = c.applyLameDuck(detached)
 		}
 		return err
 	}
@@ -150,7 +150,7 @@
 		}
 		overrides.Sites[name] = override
 		if zone == c.localZone {
-			overrides.DrainClients = out
+			overrides.DrainClients = detached
 		}
 		c.siteOverrides(*overrides)
 	})
--- a/internal/daemon/restart_test.go
+++ b/internal/daemon/restart_test.go
@@ -16,8 +16,8 @@
 func TestWarmRestart(t *testing.T) {
 	// Here the goroutines of a process outlive its end: on a slow disk the last snapshot would be written after the file
 	// is truncated below. So run waits for it for longer than usual.
-	finalSnapshotWait = testTimeout
-	defer func() { finalSnapshotWait = finalSnapshotTimeout }()
+	snapshotWriterExitWait = testTimeout
+	defer func() { snapshotWriterExitWait = finalSnapshotTimeout }()
 	env := newTestEnv(t)
 	dir := t.TempDir()
 	env.writeOperators("[state]\ndir = %q\nevery = \"100ms\"\n", dir)
--- a/internal/daemon/shutdown.go
+++ b/internal/daemon/shutdown.go
@@ -13,9 +13,11 @@
 	shutdownInterval = 10 * time.Millisecond
 )
 
-// shutDown stops listening after a while and closes each connection once its ops are answered. Ops that are open when
-// their time is over are answered with whatever is safe. It returns when no client is connected, or when the time to
-// flush replies is over as well, with the number of clients still connected. StopAgain receives further stop signals.
+// shutDown stops listening when the lifecycle says so, and closes each connection once its ops are answered. Ops that are
+// still open at the lifecycle's deadline get the reply that is safe for their category. It returns when no client is
+// connected, or when the time to flush replies is over as well, with the number of clients still connected; 1 stands for an
+// unknown number while the listener is not closed. stopAgain receives further stop signals: a late one ends the wait for open
+// ops.
 func (c *coordinator) shutDown(stopAgain <-chan struct{}) (connected int) {
 	successor := c.hasSuccessor()
 	c.mu.Lock()
@@ -38,10 +40,10 @@
 		}
 		now := c.now()
 		action := c.machine.Advance(now)
-		accepting := c.machine.Accepting(now)
+		acceptsConns := c.machine.Accepting(now)
 		c.updateFront()
 		c.mu.Unlock()
-		if listening && !accepting {
+		if listening && !acceptsConns {
 			listening = false
 			go func() {
 				c.front.Close()
@@ -57,7 +59,7 @@
 		case <-closed:
 			connected = c.front.OpenConns()
 		default:
-			connected = 1 // connections in the listener's queue are not counted yet
+			connected = 1 // unknown: connections in the listener's queue are not counted yet
 		}
 		if connected == 0 || action == lifecycle.Exit {
 			c.mu.Lock()
--- a/internal/daemon/snapshots.go
+++ b/internal/daemon/snapshots.go
@@ -30,7 +30,7 @@
 		w.file = state.OpenSnapshotFile(o.State.Dir, name, listen, s.Fingerprint())
 		w.file.MaxAge = o.State.Oldest.Duration()
 		w.file.HalfLife = o.State.HalfLife.Duration()
-		// Two windows, as long as the module keeps keys. TipAfter is in tenths of a millisecond.
+		// The module keeps keys for twice TipAfter, which is in units of 100 µs.
 		w.file.KeyWindow = time.Duration(s.Policy.TipAfter) * 200 * time.Microsecond
 	}
 	return w
@@ -60,7 +60,7 @@
 	}
 }
 
-// run writes a snapshot at each interval, and a last one when ctx is done.
+// run tries to write a snapshot at each interval, less often after failures, and a last one when ctx is done.
 func (w *snapshotWriter) run(ctx context.Context, e *engine.Engine) {
 	if w.file == nil {
 		return
@@ -72,7 +72,8 @@
 	runEvery(ctx, w.interval, func() { w.write(e, callTimeout, false) })
 }
 
-// write writes a snapshot if one is due. The last one is always due. Timeout limits the wait for the engine.
+// write writes a snapshot if one is due and this process has the write lock, which Due acquires. The last one is due at any
+// time. timeout limits the wait for the engine.
 func (w *snapshotWriter) write(e *engine.Engine, timeout time.Duration, last bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -84,11 +85,12 @@
 		return
 	}
 	learned, err := e.Learned(timeout)
-	firstFailure := true
+	logFailure := true
 	if err == nil {
-		firstFailure, err = w.file.Write(learned, now, w.interval)
+		logFailure, err = w.file.Write(learned, now, w.interval)
 	}
-	if err != nil && firstFailure {
-		w.log.Warn().Err(err).Msg("snapshot not written; retrying with increasing delays")
+	// Of consecutive failed writes only the first is logged; the retries come at increasing intervals.
+	if err != nil && logFailure {
+		w.log.Warn().Err(err).Msg("snapshot not written")
 	}
 }
--- a/internal/figures/figures.go
+++ b/internal/figures/figures.go
@@ -1,5 +1,5 @@
-// Package figures holds the proxy's metrics. The log's counters and the operators' metrics endpoint both read them, so
-// that the two agree.
+// Package figures holds the proxy's metrics. The metrics endpoint shows them, and the log's counters of answered ops read the
+// same totals, so that the two agree.
 package figures
 
 import (
@@ -11,32 +11,32 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// Metrics holds the metrics of one process, counted from its start.
+// Metrics holds the metrics of one process. Counters count from its start.
 type Metrics struct {
 	set     *metrics.Set
-	mu      sync.Mutex
+	mu      sync.Mutex                 // guards classes
 	classes map[string]*Class          // by category name
 	totals  [outcomeCount]atomic.Int64 // ops of all classes, by outcome
 
-	Attempts      *metrics.Counter // pushes that were written in full
+	Attempts      *metrics.Counter // attempts whose request was written in full
 	ReloadsOK     *metrics.Counter // configuration reloads that were applied
 	ReloadsFailed *metrics.Counter // configuration reloads that were rejected
 
 	InFlight             atomic.Int64 // ops that were accepted and have no outcome yet
 	ListedCaches         atomic.Int64 // caches in the list
 	ExcludedCaches       atomic.Int64 // listed caches that get no traffic
-	MaxEventMicroseconds atomic.Int64 // longest time that the engine took for one event
+	MaxEventMicroseconds atomic.Int64 // longest time that the engine has taken for one event since the start
 	DetachedSites        atomic.Int64 // sites that operators have detached
-	DetachedSiteCaches   atomic.Int64 // caches that are out by now because their site is detached
+	DetachedSiteCaches   atomic.Int64 // caches detached so far as their site is: a site's caches are detached one after another
 }
 
 // Outcome is the result of an op.
 type Outcome uint8
 
 const (
-	Served Outcome = iota
-	Refused
-	Failed
+	Served  Outcome = iota // answered with a result
+	Refused                // nacked: the client may retry
+	Failed                 // answered with an error, or with a long value cut short
 
 	outcomeCount // number of outcomes; not an outcome
 )
@@ -45,7 +45,7 @@
 
 func (o Outcome) String() string { return outcomeNames[o] }
 
-// Class counts the ops of one category by outcome.
+// Class counts the ops of one category by outcome. Metrics call a category a class.
 type Class struct {
 	metrics  *Metrics
 	counters [outcomeCount]*metrics.Counter
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -30,7 +30,7 @@
 	zerolog.TimeFieldFormat = zerolog.TimeFormatUnixMs // zerolog has one format for all loggers of a process
 }
 
-// New starts a log that is written to out. Level is the zerolog name of the lowest level that is written; info if it is
+// New starts a log that is written to out. level is the zerolog name of the lowest level that is written; info if it is
 // empty or unknown.
 func New(out io.Writer, level string) (zerolog.Logger, *Sink) {
 	s := &Sink{lines: make(chan []byte, queueCapacity), done: make(chan struct{})}
--- a/internal/move/move.go
+++ b/internal/move/move.go
@@ -17,8 +17,8 @@
 	"minttray/internal/settings"
 )
 
-// Shape describes the new deployment, as its TOML file does. Each proxy has a shape of its own: name, listen address,
-// seed and index differ between proxies.
+// Shape describes one proxy of the new deployment, as a TOML file does, the shape file. Name, listen address, seed and index
+// differ between proxies, so each has a shape file of its own.
 type Shape struct {
 	Name      string         `toml:"name"`
 	Listen    string         `toml:"listen"`
@@ -27,7 +27,7 @@
 	Proxies   int            `toml:"proxies"`   // number of proxies in the fleet; at least 1
 	Index     *int           `toml:"index"`     // of this proxy: 0 to Proxies-1; nil: missing
 	Limits    map[string]any `toml:"limits"`
-	Settings  map[string]any `toml:"settings"` // by the names of the settings; all others keep their old value
+	Settings  map[string]any `toml:"settings"` // by name; other settings that a proxy reads keep their old value
 }
 
 // FieldResult is the result of converting one field.
@@ -69,14 +69,15 @@
 	return fmt.Sprintf("%s... (%d bytes)", strings.ToValidUTF8(value[:maxBytes], ""), len(value))
 }
 
-// Values of FieldResult.Reason.
+// Reasons of fields that fleetSpecific does not hold.
 const (
 	reasonUnread  = "the proxy does not read it; nothing to do"
 	reasonShape   = "set by the shape file"
 	reasonUnknown = "not a field of a proxy's configuration; check what it was meant for"
 )
 
-// fleetSpecific holds the fields that describe the old proxy or its fleet, each with what an operator does about it.
+// fleetSpecific holds the fields that describe the old proxy or its fleet, each with the reason that
+// is reported when the field is dropped.
 var fleetSpecific = map[string]string{
 	"known": "the old fleet's list; the new proxy gets its list from discovery, or set known to the new fleet's list",
 }
@@ -110,7 +111,7 @@
 	if *s.Index < 0 || *s.Index >= s.Proxies {
 		return s, fmt.Errorf("%s: index: %d is not 0 to %d", path, *s.Index, s.Proxies-1)
 	}
-	for _, field := range []string{"balancers", "index"} {
+	for _, field := range []string{"balancers", "index"} { // settings.balancers is set to the shape's proxies
 		if _, set := s.Settings[field]; set {
 			return s, fmt.Errorf("%s: settings.%s: set by proxies and index; remove it", path, field)
 		}
@@ -121,7 +122,8 @@
 var (
 	// environmentFields maps each environment variable that sets a field of the configuration to that field.
 	environmentFields = map[string]string{"BALANCER_NAME": "name", "BALANCER_LISTEN": "listen", "BALANCER_DISCOVERY": "discovery"}
-	// placeholders are valid values for the fields that the old proxy may have got from its environment.
+	// placeholders are valid values for the fields that the old proxy may have got from its environment. They only let the old
+	// configuration be parsed and are not written.
 	placeholders = map[string]string{"name": "elsewhere", "listen": "elsewhere:0", "discovery": "elsewhere:0"}
 )
 
@@ -160,22 +162,22 @@
 	if shapeFields, err = normalize(shapeFields); err != nil {
 		return nil, nil, fmt.Errorf("%s: %w", shapePath, err)
 	}
-	known := knownFields()
+	proxyFields := proxyFieldPaths()
 	newFields := map[string]any{}
-	for _, field := range fieldPaths("", oldFields, shapeFields, known) {
+	for _, field := range fieldPaths("", oldFields, shapeFields, proxyFields) {
 		oldValue, inOld := fieldValue(oldFields, field)
 		shapeValue, inShape := fieldValue(shapeFields, field)
-		_, isKnown := known[field]
+		_, isProxyField := proxyFields[field]
 		result := FieldResult{Field: field, OldValue: oldValue, NewValue: shapeValue, Status: Changed, Reason: reasonShape}
 		switch reason, isFleetSpecific := fleetSpecific[field]; {
-		case inShape && !isKnown:
+		case inShape && !isProxyField:
 			return nil, nil, fmt.Errorf("%s: %s: unknown field", shapePath, field)
 		case isFleetSpecific && inOld:
 			result.Status, result.Reason = Dropped, reason
 		case inShape && oldValue == shapeValue:
 			result.Status, result.Reason = Kept, ""
 		case inShape:
-		case isKnown:
+		case isProxyField:
 			result.Status, result.NewValue, result.Reason = Kept, oldValue, ""
 		case strings.HasPrefix(field, "settings."):
 			result.Status, result.Reason = Dropped, reasonUnread
@@ -197,16 +199,16 @@
 	return text, results, nil
 }
 
-// knownFields returns the paths of the fields that a proxy reads. A list is one field.
-func knownFields() map[string]bool {
-	known := map[string]bool{}
+// proxyFieldPaths returns the paths of the fields that a proxy reads. A list is one field.
+func proxyFieldPaths() map[string]bool {
+	paths := map[string]bool{}
 	for _, name := range config.Fields() {
-		known[name] = true
+		paths[name] = true
 	}
 	for _, name := range settings.Fields() {
-		known["settings."+name] = true
+		paths["settings."+name] = true
 	}
-	return known
+	return paths
 }
 
 // parseObject parses text that holds one JSON object and nothing else. Numbers keep their spelling.
@@ -223,7 +225,8 @@
 	return object, nil
 }
 
-// normalize encodes an object to JSON and parses it again, so that its values compare equal to those of a JSON file.
+// normalize encodes an object to JSON and parses it again, so that its values compare equal to those of a JSON file. Numbers
+// do so only if they are spelled alike.
 func normalize(object map[string]any) (map[string]any, error) {
 	text, err := json.Marshal(object)
 	if err != nil {
@@ -232,9 +235,9 @@
 	return parseObject(text)
 }
 
-// fieldPaths returns the paths of all fields of either object, sorted. It descends into an object unless known has its
-// path: the proxy then reads it as one value.
-func fieldPaths(prefix string, oldFields, shapeFields map[string]any, known map[string]bool) (paths []string) {
+// fieldPaths returns the paths of all fields of either object, sorted. An object is one field if it is empty, or if proxyFields
+// has its path: the proxy then reads it as one value.
+func fieldPaths(prefix string, oldFields, shapeFields map[string]any, proxyFields map[string]bool) (paths []string) {
 	var names []string
 	for name := range oldFields {
 		names = append(names, name)
@@ -249,8 +252,8 @@
 		path := strings.TrimPrefix(prefix+"."+name, ".")
 		oldObject, oldIsObject := oldFields[name].(map[string]any)
 		shapeObject, shapeIsObject := shapeFields[name].(map[string]any)
-		if (oldIsObject || shapeIsObject) && !known[path] && (len(oldObject) > 0 || len(shapeObject) > 0) {
-			paths = append(paths, fieldPaths(path, oldObject, shapeObject, known)...)
+		if (oldIsObject || shapeIsObject) && !proxyFields[path] && (len(oldObject) > 0 || len(shapeObject) > 0) {
+			paths = append(paths, fieldPaths(path, oldObject, shapeObject, proxyFields)...)
 		} else {
 			paths = append(paths, path)
 		}
--- a/internal/operators/operators.go
+++ b/internal/operators/operators.go
@@ -87,7 +87,7 @@
 		{"state.every", f.State.Every, 100 * time.Millisecond, time.Hour},
 		{"state.oldest", f.State.Oldest, 100 * time.Millisecond, 24 * time.Hour},
 		{"state.half_life", f.State.HalfLife, 100 * time.Millisecond, 24 * time.Hour},
-		// Well within the grace period of a drain: a list that correctly lacks caches must take effect before these end.
+		// Well within the grace period of a drain: a list that correctly lacks caches must take effect before it ends.
 		{"list.confirm", f.List.Confirm, 50 * time.Millisecond, time.Second},
 	} {
 		d, err := time.ParseDuration(string(duration.text))
--- a/internal/plan/input.go
+++ b/internal/plan/input.go
@@ -1,5 +1,5 @@
-// Package plan reads the description of a deployment for the plan of losing a site, and writes plans as text and as JSON. The
-// description is a TOML file; unknown fields are errors.
+// Package plan reads the description of a deployment, from which the loss of a site is planned, and writes plans as text and as
+// JSON. The description is a TOML file; unknown fields are errors.
 package plan
 
 import (
@@ -14,23 +14,23 @@
 
 // File is the description of a deployment. Durations are strings with a unit, such as "250ms".
 type File struct {
-	Full float64 `toml:"full"` // share of the caches' work that a plan may use; default 0.9
+	Full float64 `toml:"full"` // share of the caches' cores that a plan may use, 0.01 to 1; default 0.9
 	Keys struct {
 		Count float64 `toml:"count"`
 		Zipf  float64 `toml:"zipf"` // exponent of the keys' popularity
-		Flat  float64 `toml:"flat"` // number of the most popular keys that are about alike
+		Flat  float64 `toml:"flat"` // about how many of the most popular keys are equally popular: site.Deployment.ZipfOffset
 		Hits  float64 `toml:"hits"` // share of reads that hit with all caches present and warm
 	} `toml:"keys"`
 	Origin struct {
 		Site     string  `toml:"site"`
 		Fetches  float64 `toml:"fetches"`   // per second that the origin can serve
-		MissWork float64 `toml:"miss_work"` // work of a miss at a cache, as a part of a hit's
+		MissWork float64 `toml:"miss_work"` // work of a miss at a cache as a multiple of that of a hit
 	} `toml:"origin"`
 	Cold struct {
-		From     float64 `toml:"from"`          // share of its capacity that a cache has at its start
-		WarmUp   string  `toml:"warm_up"`       // duration until it has all
-		Multiple float64 `toml:"fall_multiple"` // multiple of its current capacity that makes a cache fail
-		TipAfter string  `toml:"tip_after"`     // duration of such a load until it fails
+		From     float64 `toml:"from"`          // share of its capacity, 0 to 1, that a cache has at its start
+		WarmUp   string  `toml:"warm_up"`       // duration until it has its whole capacity
+		Multiple float64 `toml:"fall_multiple"` // load, as a multiple of its current capacity, at which a cache fails after tip_after
+		TipAfter string  `toml:"tip_after"`     // how long a cache withstands a load of fall_multiple
 	} `toml:"cold"`
 	Site []struct {
 		Name    string  `toml:"name"`
@@ -40,7 +40,7 @@
 	Cache []struct {
 		Name   string  `toml:"name"`
 		Site   string  `toml:"site"`
-		Weight float64 `toml:"weight"` // 0: 1
+		Weight float64 `toml:"weight"` // share of keys relative to other caches; 0 or missing means 1
 		Cores  float64 `toml:"cores"`
 		Keys   float64 `toml:"keys"` // number that it holds
 	} `toml:"cache"`
@@ -51,14 +51,15 @@
 		Work     string  `toml:"work"`     // CPU time of a hit at a cache, as a duration
 		Write    bool    `toml:"write"`    // each op goes to the origin
 		Beyond   float64 `toml:"beyond"`   // share of its ops that are beyond their tenants' quotas
-		Discount float64 `toml:"discount"` // part of the benefit that such an op keeps
+		Discount float64 `toml:"discount"` // factor on the benefit of such an op: 0.3 keeps 30%
 	} `toml:"category"`
 }
 
 // defaultUsableShare is the value of "full" if a file has none.
 const defaultUsableShare = 0.9
 
-// Read reads a file. Errors name file, line and field.
+// Read reads a file. Errors of syntax and of single fields name file, line and field; the line is 0 if the field is missing.
+// Others name the file.
 func Read(path string) (*site.Deployment, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -78,7 +79,7 @@
 	fieldError := func(field, format string, args ...any) error {
 		return fmt.Errorf("%s:%d: %s: %s", path, lines[field], field, fmt.Sprintf(format, args...))
 	}
-	var durationErr error // of the first wrong duration
+	var durationErr error // error of the first invalid duration
 	parseSeconds := func(field, text string) float64 {
 		d, err := time.ParseDuration(text)
 		if durationErr == nil && (err != nil || d < 0) {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -25,8 +25,8 @@
 	TTL     uint64  `json:"ttl-us"`
 }
 
-// conf is the JSON form of the settings; unknown fields are ignored. Errors of encoding/json quote the names of the type and of the
-// fields of its unnamed structs, and the simulator gets them.
+// conf is the JSON form of the settings; unknown fields are ignored. Don't rename conf, category or their fields: errors of
+// encoding/json contain such names, and these errors are sent to the simulator.
 type conf struct {
 	Balancers          int     `json:"balancers"`
 	BeyondShareBenefit float64 `json:"beyond-share-benefit"`
@@ -108,8 +108,8 @@
 	return names
 }
 
-// check rejects values that a typing error can produce and that would otherwise change decisions: unknown keywords, negative
-// figures and a zone that does not exist.
+// check rejects values out of range that would otherwise silently change decisions, such as unknown keywords, negative numbers
+// and a zone that does not exist.
 func (c *conf) check() error {
 	for _, keyword := range []struct {
 		field, value string
@@ -169,8 +169,8 @@
 	return nil
 }
 
-// Settings is the input of the decision module, and what a proxy on sockets needs besides. Fingerprint covers the names, types
-// and order of the fields, so a change to these makes stored snapshots unusable.
+// Settings is the input of the decision module, and what a real proxy, rather than a simulated one, needs in addition.
+// Fingerprint covers the values, names and order of the fields, so a change to any of these makes stored snapshots unusable.
 type Settings struct {
 	Policy     policy.Settings
 	Categories []string // names, in the order of Policy.Categories
@@ -212,10 +212,10 @@
 )
 
 const (
-	timesPerMillisecond = 10                                            // policy.Time counts tenths of milliseconds
-	microsecondsPerTime = 100                                           // one policy.Time
+	unitsPerMillisecond = 10                                            // units of policy.Time
+	microsecondsPerUnit = 100                                           // of policy.Time
 	maxReportedLatency  = 1e6                                           // milliseconds; values from here on are not plausible
-	maxDurationUS       = 366 * 24 * uint64(time.Hour/time.Microsecond) // a year: longer than any process lives, and free of overflow in each unit
+	maxDurationUS       = 366 * 24 * uint64(time.Hour/time.Microsecond) // a year: longer than any process lives, and no overflow in policy.Time or time.Duration
 )
 
 // ReportedLatency converts the latency in a load report, in milliseconds, to the decision module's unit. An implausible value
@@ -224,17 +224,17 @@
 	if !(ms > 0 && ms < maxReportedLatency) {
 		return 0
 	}
-	return max(policy.Time(ms*timesPerMillisecond), 1)
+	return max(policy.Time(ms*unitsPerMillisecond), 1)
 }
 
 // timeFloor converts microseconds to the decision module's unit, rounded down. It caps them at maxDurationUS.
 func timeFloor(us uint64) policy.Time {
-	return policy.Time(min(us, maxDurationUS) / microsecondsPerTime)
+	return policy.Time(min(us, maxDurationUS) / microsecondsPerUnit)
 }
 
 // timeCeil is timeFloor rounded up.
 func timeCeil(us uint64) policy.Time {
-	return timeFloor(min(us, maxDurationUS) + microsecondsPerTime - 1)
+	return timeFloor(min(us, maxDurationUS) + microsecondsPerUnit - 1)
 }
 
 func duration(us uint64) time.Duration {
@@ -245,7 +245,7 @@
 func (s Settings) MaxTTL() (longest time.Duration) {
 	for _, c := range s.Policy.Categories {
 		if !c.Dropped {
-			longest = max(longest, time.Duration(c.TTL)*microsecondsPerTime*time.Microsecond)
+			longest = max(longest, time.Duration(c.TTL)*microsecondsPerUnit*time.Microsecond)
 		}
 	}
 	return longest
@@ -266,7 +266,7 @@
 	if err := json.Unmarshal(text, &c); err != nil {
 		return s, fmt.Errorf("settings: %w", err)
 	}
-	// The proxy's part of each fleet-wide limit depends on these two. Without them the proxy takes itself for the only one.
+	// The proxy's part of each fleet-wide limit depends on these two. Without them the proxy takes the whole limit.
 	if c.Balancers < 0 || c.Balancers > maxProxies {
 		return s, fmt.Errorf("settings: balancers: %d is not 0 to %d", c.Balancers, maxProxies)
 	}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -46,7 +46,7 @@
 	if err != nil || !reflect.DeepEqual(s.Policy, want) {
 		t.Errorf("error %v\n got %+v\nwant %+v", err, s.Policy, want)
 	}
-	// Probing needs permission, reports on probes and both figures. Here one of these is absent.
+	// Probing needs permission, reports on probes and both report fields. Here one of these is absent.
 	for _, c := range []struct{ limits, report string }{
 		{`,"probing":true`, `,"how":"inline"`},
 		{"", `,"how":"on_probe"`},
--- a/internal/simwire/actions.go
+++ b/internal/simwire/actions.go
@@ -19,7 +19,7 @@
 	actionProbe       = 9
 	actionLog         = 10
 	actionCloseIdle   = 11
-	actionFault       = 12 // the settings were refused
+	actionFault       = 12 // the settings are invalid
 )
 
 // allPeers is the receiver of a message that goes to all peers.
@@ -29,7 +29,7 @@
 type instance struct {
 	adapter *adapter
 	id      uint16
-	proxy   *policy.Balancer // nil: not started, or its settings were refused
+	proxy   *policy.Balancer // nil: not started, or its settings are invalid
 	// Indexes of values in a load report; -1: none.
 	latencyIndex int
 	waitingIndex int
@@ -50,7 +50,7 @@
 
 // microseconds32 converts a duration to microseconds, limited to the range of 32 bits.
 func microseconds32(t policy.Time) uint32 {
-	return uint32(min(max(t, 0)*microsecondsPerTime, math.MaxUint32))
+	return uint32(min(max(t, 0)*microsecondsPerUnit, math.MaxUint32))
 }
 
 // Now returns the clock of the current frame.
@@ -59,7 +59,7 @@
 // Push sends an op to a cache; until is the time at which the push ends.
 func (in *instance) Push(op, cache uint32, until policy.Time) {
 	b := binary.LittleEndian.AppendUint32(in.begin(actionPush), op)
-	b = binary.LittleEndian.AppendUint64(b, uint64(max(until, 0))*microsecondsPerTime)
+	b = binary.LittleEndian.AppendUint64(b, uint64(max(until, 0))*microsecondsPerUnit)
 	in.adapter.out = binary.LittleEndian.AppendUint32(b, cache)
 }
 
@@ -85,12 +85,12 @@
 	in.adapter.out = binary.LittleEndian.AppendUint32(b, microseconds32(after))
 }
 
-// DeadLetter gives an op up whose effect is unknown.
+// DeadLetter gives up an op whose effect is unknown.
 func (in *instance) DeadLetter(op uint32) {
 	in.adapter.out = binary.LittleEndian.AppendUint32(in.begin(actionDeadLetter), op)
 }
 
-// Nack gives an op up that the client may retry after a delay.
+// Nack gives up an op that the client may retry after a delay.
 func (in *instance) Nack(op uint32, retryAfter policy.Time) {
 	b := binary.LittleEndian.AppendUint32(in.begin(actionNack), op)
 	in.adapter.out = binary.LittleEndian.AppendUint32(b, microseconds32(retryAfter))
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -9,7 +9,7 @@
 	"minttray/policy"
 )
 
-// Codes of events. A record is a code (1 byte), the number of the instance (2 bytes) and the fields of the event.
+// Codes of events. An event is encoded as a record: a code (1 byte), the number of the instance (2 bytes) and the event's fields.
 const (
 	eventPeerMessage = 1
 	eventStreamBegan = 2
@@ -31,7 +31,7 @@
 	flagWrite = 1 << 2
 
 	probeAnswered = 10 // result of a probe that has brought a load report
-	noteMiss      = 2  // notes of eventPushEnded from this value on say that the cache did not have the key
+	noteMiss      = 2  // least value of the note of eventPushEnded that means a miss: the cache did not have the key
 )
 
 var outcomes = map[uint8]policy.Outcome{
@@ -59,11 +59,11 @@
 	3: policy.Ready,
 }
 
-// microsecondsPerTime is the unit of policy.Time: a tenth of a millisecond.
-const microsecondsPerTime = 100
+// microsecondsPerUnit is the number of microseconds in the unit of policy.Time, a tenth of a millisecond.
+const microsecondsPerUnit = 100
 
-// timeFloor converts microseconds to the decision module's unit, rounded down.
-func timeFloor(us uint64) policy.Time { return policy.Time(us / microsecondsPerTime) }
+// timeFloor converts microseconds to the decision module's unit, rounded down. Unlike that of package settings it has no cap.
+func timeFloor(us uint64) policy.Time { return policy.Time(us / microsecondsPerUnit) }
 
 func (a *adapter) handleFrame(body []byte) error {
 	r := &reader{data: body}
@@ -76,11 +76,12 @@
 	return nil
 }
 
-// handleEvent decodes one event and passes it to its instance. Events for an instance that was killed, or whose settings were
-// refused, are decoded and ignored.
+// handleEvent decodes one event and passes it to its instance. Events for an instance that does not run, because it was not
+// started, was killed or has invalid settings, are decoded and ignored.
 func (a *adapter) handleEvent(r *reader) error {
 	code := r.u8()
 	in := a.instances[r.u16()]
+	// id is the number that u16 has just read. In a record cut short the offset may be below 2, and id is not used.
 	id := binary.LittleEndian.Uint16(r.data[max(r.offset-2, 0):])
 	truncatedError := func() error { return fmt.Errorf("code %d is cut short", code) }
 	if r.truncated {
@@ -146,14 +147,14 @@
 		in.latencyIndex, in.waitingIndex, in.rateIndex = s.Pace, s.Waiting, s.Rate
 		in.proxy = policy.New(s.Policy, seed, in)
 	case eventOp:
-		op, key, flags, category, remaining := r.u32(), r.u64(), r.u8(), r.u16(), r.u32()
+		op, key, flags, category, remainingUS := r.u32(), r.u64(), r.u8(), r.u16(), r.u32()
 		r.take(8) // unused
 		tenant := r.u16()
 		if r.truncated {
 			return truncatedError()
 		}
 		if in.proxy != nil {
-			in.proxy.OpArrived(op, key, int(category), int(tenant), flags&flagWrite != 0, flags&flagRetry != 0, timeFloor(uint64(remaining)))
+			in.proxy.OpArrived(op, key, int(category), int(tenant), flags&flagWrite != 0, flags&flagRetry != 0, timeFloor(uint64(remainingUS)))
 		}
 	case eventList:
 		return a.handleList(in, r)
@@ -169,7 +170,7 @@
 		op := r.u32()
 		cache := r.u32()
 		note, result, terminal, push := r.u32(), r.u8(), r.u8(), r.u8()
-		taken, latency := r.u32(), policy.Time(0)
+		durationUS, latency := r.u32(), policy.Time(0)
 		if in != nil {
 			latency = reportedLatency(r.loadReport(), in.latencyIndex)
 		} else {
@@ -186,7 +187,7 @@
 			if latency > 0 {
 				in.proxy.Reported(cache, latency)
 			}
-			in.proxy.PushEnded(op, int(push), outcome, note >= noteMiss, terminal != 0, timeFloor(uint64(taken)))
+			in.proxy.PushEnded(op, int(push), outcome, note >= noteMiss, terminal != 0, timeFloor(uint64(durationUS)))
 		}
 	default:
 		return fmt.Errorf("unknown code %d", code)
@@ -213,10 +214,10 @@
 			return fmt.Errorf("unknown state %d", state)
 		}
 		if e.Weight = float64(r.f32()); !(e.Weight > 0) || math.IsInf(e.Weight, 0) {
-			e.Weight = 1 // missing, or not usable for a comparison
+			e.Weight = 1 // missing or invalid: not a finite number above 0
 		}
 		// Start times are rounded up: a cache must not count as older than it is.
-		e.Start = timeFloor(r.u64() + microsecondsPerTime - 1)
+		e.Start = timeFloor(r.u64() + microsecondsPerUnit - 1)
 		entries[i] = e
 	}
 	if in.proxy != nil {
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -126,7 +126,7 @@
 }
 
 // Guards against probe results that are misread: only one that reports a long queue holds an op back from the cache. A result without
-// usable figures counts as none.
+// usable values counts as none.
 func TestProbes(t *testing.T) {
 	conf := `{"balancers":9,"categories":[{"effect":"read_like","target-latency-us":300000,"ttl-us":900000}],
 		"family-info":{"mode":"aside"},"limits":{"probing":true,"most-pushes":3},"load-report":{"fields":["pending","served_ps"],"how":"on_probe"},"tick-us":5000}`
--- a/lab/baseline/baseline.go
+++ b/lab/baseline/baseline.go
@@ -18,7 +18,7 @@
 
 const reckless = "reckless"
 
-// maxCacheTries is the number of caches that an op is pushed to at most.
+// maxCacheTries is the largest number of caches that an op is pushed to.
 const maxCacheTries = 2
 
 // server is a listed server.
@@ -40,12 +40,12 @@
 	category   *policy.Category
 	write      bool
 	deadline   policy.Time
-	pushes     int   // so far
-	current    *push // nil if no push is in progress
-	tried      []uint32
-	mayHaveRun bool
-	missed     bool
-	answered   bool // or its client left
+	pushes     int      // so far
+	current    *push    // nil if no push is in progress
+	tried      []uint32 // caches that it was pushed to
+	mayHaveRun bool     // an ended push may have had an effect
+	missed     bool     // a cache did not have the key
+	answered   bool     // or its client left
 }
 
 // Rule is a routing policy that takes the place of the routing module.
--- a/lab/baseline/faulty.go
+++ b/lab/baseline/faulty.go
@@ -24,14 +24,14 @@
 
 // proxyFault is the behavior of a faulty proxy.
 type proxyFault struct {
-	sendTwice         bool          // sends the request at once and discards the answer, before the request that it answers by
-	delay             time.Duration // before the request that it answers by
+	sendTwice         bool          // first sends the request once without delay, and discards the answer
+	delay             time.Duration // before it sends the request whose answer the client gets
 	closesAfterRead   bool          // on every closeInterval-th request
 	closesBeforeReply bool          // on every closeInterval-th request
 }
 
 const (
-	// closeInterval is the number of requests from one that is dropped to the next.
+	// closeInterval is the number of requests of which one is dropped.
 	closeInterval = 7
 	// discoveryTimeout bounds the request for the list of caches.
 	discoveryTimeout = 5 * time.Second
--- a/lab/ledger/judge.go
+++ b/lab/ledger/judge.go
@@ -8,16 +8,17 @@
 )
 
 const (
-	// opRetention is how long past its TTL an op is held, to see late records of it.
+	// opRetention is how much longer than the longest TTL an op is held after opRecords.until, for records that come late.
 	opRetention = 3 * time.Second
 	// maxFindings bounds the findings that a verdict describes in detail.
 	maxFindings = 20
-	// clientLeftDelay is the time from a client's leaving after which nothing may be pushed for it.
+	// clientLeftDelay is the time from a client's closing its connection after which, with RuleParams.Slack added, nothing may
+	// be pushed for it.
 	clientLeftDelay = 300 * time.Millisecond
 
-	// deadlineTolerance is how far a forwarded deadline may exceed the time that the client has left: the operators' 150 ms,
-	// and 50 ms for delays of the machine between client, proxy and server. It is a constant rather than a setting because
-	// with the large slack of short experiments no deadline would be checked.
+	// deadlineTolerance is how far a forwarded deadline may exceed the time that the client has left: the 150 ms that
+	// the operators' requirements allow, and 50 ms for delays of the machine between client, proxy and server. It is a
+	// constant rather than a setting because with the large slack of short experiments no deadline would be checked.
 	deadlineTolerance = 150*time.Millisecond + 50*time.Millisecond
 )
 
@@ -31,16 +32,16 @@
 
 // server is the state of a server since its last start.
 type server struct {
-	startedAt time.Duration
-	capacity  float64 // cores
-	cold      bool
-	coldWork  []Record // pushes received during warm-up
+	startedAt  time.Duration
+	capacity   float64 // cores
+	cold       bool
+	coldPushes []Record // pushes received during warm-up
 }
 
 // stateChange is a change of a state at a time.
 type stateChange struct {
 	at    time.Duration
-	state uint32
+	state uint32 // a State constant in announcements by discovery; otherwise 1: on, 0: off
 }
 
 // interval is a span of time.
@@ -55,7 +56,8 @@
 	server uint32
 }
 
-// Judge checks the records of a ledger. Its verdict depends on the times of records, not on their order.
+// Judge checks the records of a ledger. The records of an op, and changes of states, are put in order of time, so they may come
+// out of order by less than opRetention. ServerStarted must come before the pushes to that server.
 type Judge struct {
 	params     RuleParams
 	open       map[uint64]*opRecords
@@ -106,7 +108,7 @@
 		j.stalls[r.A] = append(j.stalls[r.A], stateChange{r.At, r.C})
 	case LinkFault:
 		at := r.At
-		if r.C == 0 { // a push that was in progress when the fault began is waited for after it
+		if r.C == 0 { // the proxy may still wait for a push that the fault cut off
 			at += j.maxTTL()
 		}
 		j.linkFaults = append(j.linkFaults, stateChange{at, r.C})
@@ -134,7 +136,7 @@
 		if r.Kind == PushReceived {
 			j.verdict.Pushes++
 			if s := j.servers[r.A]; s != nil && s.cold && r.At-s.startedAt < j.params.WarmUp {
-				s.coldWork = append(s.coldWork, r)
+				s.coldPushes = append(s.coldPushes, r)
 			}
 		}
 	}
@@ -185,13 +187,13 @@
 	return activeBetween(j.stalls[proxy], from, to)
 }
 
-// activeBetween reports whether anything that changes start and end is in progress at any time between two moments.
+// activeBetween reports whether any interval that the changes describe overlaps the time between two moments.
 func activeBetween(changes []stateChange, from, to time.Duration) bool {
 	return slices.ContainsFunc(intervals(changes), func(i interval) bool { return i.start < to && i.end > from })
 }
 
-// intervals returns the times in which at least one thing has begun (state 1) and not ended (state 0). The changes may
-// come in any order.
+// intervals returns the intervals that changes to state 1 start and changes to state 0 end. Overlapping ones are merged. The
+// changes may come in any order.
 func intervals(changes []stateChange) (result []interval) {
 	changes = slices.Clone(changes)
 	slices.SortStableFunc(changes, compareTimes)
--- a/lab/ledger/rules.go
+++ b/lab/ledger/rules.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// notYet stands for the time of an event that has not happened.
-const notYet = time.Duration(-1)
+// noTime stands for the time of an event that did not happen or is unknown. As no real time is negative, "< 0" tests for it.
+const noTime = time.Duration(-1)
 
 // answerKilled replaces an answer if the lab killed the proxy process that owed it. It is no value of a record.
 const answerKilled = 1 << 16
@@ -15,7 +15,7 @@
 // push is a PushReceived record with the end of the push.
 type push struct {
 	Record
-	endedAt time.Duration // notYet while it is in progress
+	endedAt time.Duration // noTime while it is in progress
 	end     uint32        // one of the End constants
 }
 
@@ -34,13 +34,13 @@
 	sent         Record
 	answers      []Record
 	pushes       []push
-	clientLeftAt time.Duration // notYet if the client did not leave
-	connClosedAt time.Duration // notYet if the client did not close its connection, or a link fault hides that
+	clientLeftAt time.Duration // noTime if the client did not leave
+	connClosedAt time.Duration // noTime if the client did not close its connection, or a link fault hides that
 }
 
 // history groups the records of an op, and combines pushes with their ends.
 func (e *opRecords) history() opHistory {
-	h := opHistory{clientLeftAt: notYet, connClosedAt: notYet}
+	h := opHistory{clientLeftAt: noTime, connClosedAt: noTime}
 	for _, r := range e.records {
 		switch r.Kind {
 		case OpSent:
@@ -52,7 +52,7 @@
 		case OpAnswered:
 			h.answers = append(h.answers, r)
 		case PushReceived:
-			h.pushes = append(h.pushes, push{r, notYet, 0})
+			h.pushes = append(h.pushes, push{r, noTime, 0})
 		case PushEnded:
 			h.endPush(r)
 		}
@@ -60,7 +60,7 @@
 	return h
 }
 
-// endPush sets the end of the first push that is in progress on the connection of r.
+// endPush sets the end of the first push that is in progress at the server (A) and on the connection (B) of r.
 func (h *opHistory) endPush(r Record) {
 	for i := range h.pushes {
 		if p := &h.pushes[i]; p.A == r.A && p.B == r.B && p.endedAt < 0 {
@@ -182,7 +182,9 @@
 
 // checkRefusalDelay checks that a refusal is not delayed while no push is in progress.
 func (j *Judge) checkRefusalDelay(e *opRecords, h opHistory, answer Record, c Category) {
-	lastActive := h.sent.At // when the proxy last had a push in progress, or else received the op
+	// lastActive is the end of the last push before the answer: the time of sending if there was none, and the time of the answer
+	// if a push is still in progress then.
+	lastActive := h.sent.At
 	for _, p := range h.pushes {
 		switch {
 		case p.At >= answer.At:
@@ -193,7 +195,7 @@
 		}
 	}
 	refused := answer.A == AnswerNacked || answer.A == AnswerDeadLettered
-	// No server sees a push in progress on a faulty link.
+	// On a faulty link a proxy may wait for a push that reached no server and so has no record.
 	excused := j.stalledBetween(h.sent.A, lastActive, answer.At) || activeBetween(j.linkFaults, lastActive, answer.At)
 	if !refused || h.clientLeftAt >= 0 || excused {
 		return
@@ -205,8 +207,8 @@
 	}
 }
 
-// checkDuplicates checks the number of pushes, that no effect may have happened twice, and that a nack is only given if no
-// push may have run.
+// checkDuplicates checks the number of pushes, and that no effect may have happened twice. For at-most-once ops, and for ops that
+// are deduplicated in one zone only, it checks that a nack is given only if no push may have run.
 func (j *Judge) checkDuplicates(e *opRecords, c Category, pushes []push, answers []Record) {
 	if len(pushes) > j.params.MaxPushes {
 		j.report(RuleTooManyPushes, e, "%d pushes, %d are allowed", len(pushes), j.params.MaxPushes)
@@ -217,8 +219,8 @@
 			if !j.params.AllowConcurrentPushes && inProgress && earlier.end != EndConnLost {
 				j.report(RuleDuplicateEffect, e, "a push while another was out on an open connection")
 			}
-			refusedLater := earlier.endedAt >= 0 && earlier.endedAt > p.At+j.params.Slack && (earlier.end == EndRefused || earlier.end == EndMissed)
-			mayHaveRun := earlier.mayHaveRun() && !refusedLater
+			refusedAfterNext := earlier.endedAt >= 0 && earlier.endedAt > p.At+j.params.Slack && (earlier.end == EndRefused || earlier.end == EndMissed)
+			mayHaveRun := earlier.mayHaveRun() && !refusedAfterNext
 			switch {
 			case !mayHaveRun || c.Effect == "redeliverable":
 			case c.Effect == "at-most-once":
@@ -268,22 +270,22 @@
 			return at
 		}
 		key := proxyServer{proxy: proxy, server: p.A}
-		drainedAt := notYet
+		drainedAt := noTime
 		for _, change := range j.announced[key] {
 			switch {
 			case change.at > p.At:
 			case change.state == StateActive:
-				drainedAt = notYet
+				drainedAt = noTime
 			case drainedAt < 0:
 				drainedAt = noticedAt(change.at)
 			}
 		}
-		detachedAt := notYet
+		detachedAt := noTime
 		for _, change := range j.overrides[key] {
 			switch {
 			case change.at > p.At:
 			case change.state == 0:
-				detachedAt = notYet
+				detachedAt = noTime
 			case detachedAt < 0:
 				detachedAt = change.at
 			}
@@ -296,22 +298,22 @@
 	}
 }
 
-// overloadBurst is work beyond the overload bound that a cold server tolerates, in seconds of its capacity.
+// overloadBurst is the work in a burst that a cold server tolerates, in seconds of its full capacity. It is added to the bound.
 const overloadBurst = 0.25
 
-// checkColdStart checks the work that a server received during warm-up: in no window may it exceed what the server can do
-// at that time.
+// checkColdStart checks the work that a server received during warm-up: in no OverloadWindow may it exceed OverloadFactor times
+// the server's capacity in the middle of the window, plus overloadBurst.
 func (j *Judge) checkColdStart(id uint32) {
 	s := j.servers[id]
 	if s == nil || !s.cold || j.params.OverloadFactor == 0 {
 		return
 	}
-	slices.SortFunc(s.coldWork, func(a, b Record) int { return int(a.At - b.At) })
+	slices.SortFunc(s.coldPushes, func(a, b Record) int { return int(a.At - b.At) })
 	sum, from := 0.0, 0 // core seconds of work in the window, and the index of its first push
-	for i, r := range s.coldWork {
+	for i, r := range s.coldPushes {
 		sum += float64(r.C) / 1e6
-		for s.coldWork[from].At < r.At-j.params.OverloadWindow {
-			sum -= float64(s.coldWork[from].C) / 1e6
+		for s.coldPushes[from].At < r.At-j.params.OverloadWindow {
+			sum -= float64(s.coldPushes[from].C) / 1e6
 			from++
 		}
 		windowStart := max(r.At-j.params.OverloadWindow, s.startedAt)
@@ -325,5 +327,5 @@
 			break
 		}
 	}
-	s.coldWork = nil
+	s.coldPushes = nil
 }
--- a/lab/load/arrivals.go
+++ b/lab/load/arrivals.go
@@ -133,7 +133,7 @@
 		return Arrival{}, false
 	}
 	a.drawn++
-	// The order of these draws is part of what a seed means.
+	// Another order of these draws would change the load of every seed.
 	op := Arrival{
 		Due:              a.now,
 		Seq:              a.drawn,
--- a/lab/load/balancer.go
+++ b/lab/load/balancer.go
@@ -46,7 +46,7 @@
 	Proxies []*Proxy
 	// ConnsOpened counts opened connections.
 	ConnsOpened atomic.Int64
-	// ConnsRefused counts connections that a proxy's machine refused or nobody answered.
+	// ConnsRefused counts connections that could not be opened: the proxy was terminating, refused, or did not answer.
 	ConnsRefused atomic.Int64
 
 	// Links holds the faults of links between clients and proxies; nil if there are none.
@@ -60,7 +60,8 @@
 	return &Balancer{exp: exp, Proxies: proxies}
 }
 
-// MarkDown records that the proxy's process is gone. The balancer reacts to it only after the experiment's notice time.
+// MarkDown records that the proxy's process is gone. The balancer reacts to it only after the
+// experiment's DetectionDelay.
 func (p *Proxy) MarkDown() {
 	p.mu.Lock()
 	p.diedAt = time.Now()
--- a/lab/load/conn.go
+++ b/lab/load/conn.go
@@ -25,24 +25,24 @@
 	process   uint32 // the proxy process, as the ledger numbers it
 	generator *Generator
 
-	mu        sync.Mutex
-	op        uint64        // the last op sent
-	valueName string        // the prefix of the value that op has to be answered with
-	pending   chan<- answer // nil if no op waits for an answer
-	closed    bool
-	opsSent   int
+	mu          sync.Mutex
+	op          uint64           // the last op sent
+	valuePrefix string           // the prefix of the value that op has to be answered with
+	pending     chan<- tryResult // nil if no op waits for an answer
+	closed      bool
+	opsSent     int
 }
 
 // begin registers an op that is about to be sent, and returns the channel that its answer comes on.
-func (c *conn) begin(op uint64, valueName string) <-chan answer {
+func (c *conn) begin(op uint64, valuePrefix string) <-chan tryResult {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	answers := make(chan answer, 1)
-	c.op, c.valueName, c.pending = op, valueName, answers
+	answers := make(chan tryResult, 1)
+	c.op, c.valuePrefix, c.pending = op, valuePrefix, answers
 	c.opsSent++
 	if c.closed {
 		c.pending = nil
-		answers <- answer{result: resultUnreached}
+		answers <- tryResult{result: resultUnreached}
 	}
 	return answers
 }
@@ -95,7 +95,7 @@
 			c.generator.ledger.Append(ledger.Record{Kind: ledger.OpAnswered, At: now, Op: op, A: result})
 		}
 		if pending != nil {
-			pending <- answer{result: result, retryAfter: retryAfter}
+			pending <- tryResult{result: result, retryAfter: retryAfter}
 		}
 		if err != nil {
 			c.netConn.Close()
@@ -132,7 +132,7 @@
 			return ledger.AnswerTruncated, 0, errTruncated
 		}
 		c.mu.Lock()
-		name := c.valueName
+		name := c.valuePrefix
 		c.mu.Unlock()
 		if !strings.HasPrefix(string(value), name+" ") {
 			return ledger.AnswerWrongValue, 0, nil
--- a/lab/load/generator.go
+++ b/lab/load/generator.go
@@ -15,7 +15,7 @@
 // maxOpenOps is the largest number of ops in progress. If it is reached, the lab itself is overloaded and skips ops.
 const maxOpenOps = 20000
 
-// minTryWait is the shortest time that a client starts a try for.
+// minTryWait is the shortest wait of a try: with less than this left of its time, a client starts none.
 const minTryWait = time.Millisecond
 
 // triesPerOpBits is the number of bits of a try's ID that hold the number of the try.
@@ -40,16 +40,17 @@
 // now returns the time on the run's clock.
 func (g *Generator) now() time.Duration { return time.Since(g.start) }
 
-// Run sends each op when it is due, counted from the time from on the run's clock. It does not wait for an answer before
-// it sends the next op. It returns when all ops have ended; after stop is closed it sends no more.
-func (g *Generator) Run(from time.Duration, stop <-chan struct{}) {
+// Run sends each op when it is due, counted from loadStart on the run's clock. It does not wait for an answer before it sends
+// the next op. It returns when all ops have ended. Once stop is closed, it ends the next time that it waits for an op to be
+// due: while it is behind, it does not check stop.
+func (g *Generator) Run(loadStart time.Duration, stop <-chan struct{}) {
 	arrivals := NewArrivals(g.exp)
 	for {
 		arrival, more := arrivals.Next()
 		if !more {
 			break
 		}
-		due := from + arrival.Due
+		due := loadStart + arrival.Due
 		if wait := due - g.now(); wait > 0 {
 			select {
 			case <-time.After(wait):
@@ -79,7 +80,8 @@
 	g.meter.RecordSendDelay(g.now() - due)
 	outcome := measure.Outcome{Due: arrival.Due, Category: arrival.Category, Tenant: arrival.Tenant}
 	end := due + category.TTL.Std()
-	mayHaveRun, firstTryAt := false, due
+	// The deduplication window is counted from dedupStart, the earliest time at which the first try can have been sent.
+	mayHaveRun, dedupStart := false, due
 	for try := 0; try <= g.exp.Clients.Retries; try++ {
 		now := g.now()
 		wait := min(time.Duration(float64(category.TTL.Std())*arrival.TryTimeoutShare), end-now)
@@ -109,7 +111,7 @@
 		default:
 			mayHaveRun = true
 		}
-		if mayHaveRun && (category.Effect == "at-most-once" || category.Effect == "deduplicated" && (category.DedupGroup != "all" || g.now() > firstTryAt+category.DedupWindow.Std())) {
+		if mayHaveRun && (category.Effect == "at-most-once" || category.Effect == "deduplicated" && (category.DedupGroup != "all" || g.now() > dedupStart+category.DedupWindow.Std())) {
 			break
 		}
 		retryAfter := g.exp.Clients.RetryDelay.Std()
@@ -132,43 +134,45 @@
 	resultTimeout                // no answer within the client's wait
 )
 
-// answer is the result of a try.
-type answer struct {
+// tryResult is the result of a try, with or without an answer.
+type tryResult struct {
 	result     uint32 // one of the ledger's Answer constants or of the results above
 	retryAfter time.Duration
 }
 
-// tryID returns the ledger's ID of a try of the op with number seq. No two tries have the same ID.
+// tryID returns the ID of a try of the op with number seq. No two tries have the same ID. In the ledger each try is an op of its
+// own, with this ID.
 func tryID(seq uint64, try int) uint64 { return Mix64(seq<<triesPerOpBits | uint64(try)) }
 
 // runTry sends one try, and waits for its answer or until the client stops waiting. If leaveAfter is above 0, the client
 // leaves after that time.
-func (g *Generator) runTry(arrival Arrival, category experiment.Category, try int, wait, leaveAfter time.Duration) answer {
+func (g *Generator) runTry(arrival Arrival, category experiment.Category, try int, wait, leaveAfter time.Duration) tryResult {
 	proxy := g.balancer.pick(arrival.Zone, Mix64(arrival.ProxyChoice+uint64(try)), arrival.Due)
 	c, err := g.balancer.dial(proxy, arrival.Zone, g)
 	if err != nil {
-		return answer{result: resultUnreached}
+		return tryResult{result: resultUnreached}
 	}
 	id := tryID(arrival.Seq, try)
-	valueName := fmt.Sprintf("%016x", id)
+	// The servers begin a value with the text that they are sent, so a value made for another try is detected.
+	valuePrefix := fmt.Sprintf("%016x", id)
 	props := fmt.Sprintf("c=%s,t=%s,d=%d", category.Name, g.exp.Tenants[arrival.Tenant].Name, max(wait.Milliseconds(), 1))
 	if g.exp.Clients.MarkRetries && try > 0 {
 		props += ",r=1"
 	}
 	key := fmt.Sprintf("%016x", arrival.Key)
-	request := command("CACHE.GET", key, valueName, props)
+	request := command("CACHE.GET", key, valuePrefix, props)
 	if category.Write {
-		request = command("CACHE.SET", key, valueName, props, strings.Repeat("v", category.Size))
+		request = command("CACHE.SET", key, valuePrefix, props, strings.Repeat("v", category.Size))
 	}
-	answers := c.begin(id, valueName)
+	answers := c.begin(id, valuePrefix)
 	c.netConn.SetWriteDeadline(time.Now().Add(wait))
 	linkFaulty := g.balancer.linkFaulty(arrival.Zone, proxy)
-	// The op counts as taken once its last byte is written. The time is read before the write, so that the answer cannot be
-	// recorded with an earlier time than the op.
+	// OpSent is recorded once the whole op is written, but with the time before the write, so that no answer has an earlier
+	// time than its op.
 	sentAt := g.now()
 	if _, err := c.netConn.Write([]byte(request)); err != nil {
 		c.netConn.Close()
-		return answer{result: resultUnreached}
+		return tryResult{result: resultUnreached}
 	}
 	processAge, restarted := proxy.ProcessAge()
 	g.ledger.Append(ledger.Record{Kind: ledger.OpSent, At: sentAt, Op: id, A: c.process, B: uint32(arrival.Category), C: uint32(wait / time.Microsecond)})
@@ -181,7 +185,7 @@
 	select {
 	case got := <-answers:
 		if latency := g.now() - sentAt; latency > wait && (linkFaulty || g.balancer.linkFaulty(arrival.Zone, proxy)) {
-			// The proxy may have answered in time: the link may have delayed the answer.
+			// The proxy may have answered in time: the link may have delayed the answer. ClientLeft with A 0 excuses the delay.
 			g.ledger.Append(ledger.Record{Kind: ledger.ClientLeft, At: sentAt + wait, Op: id})
 		}
 		g.meter.RecordTry(processAge, restarted, category.Benefit, got.result == ledger.AnswerAcked && g.now()-sentAt <= category.Target.Std())
@@ -195,17 +199,17 @@
 		return <-answers
 	}
 	if linkFaulty || g.balancer.linkFaulty(arrival.Zone, proxy) {
-		// It is unknown whether the proxy received the op, and what it answered.
+		// It is unknown whether the proxy received the op, and what it answered: A of ClientLeft stays 0.
 		g.ledger.Append(ledger.Record{Kind: ledger.ClientLeft, At: g.now(), Op: id})
 		g.meter.RecordTry(processAge, restarted, category.Benefit, false)
-		return answer{result: resultTimeout}
+		return tryResult{result: resultTimeout}
 	}
 	if leaveAfter > 0 {
 		g.ledger.Append(ledger.Record{Kind: ledger.ClientLeft, At: g.now(), Op: id, A: 1})
-		return answer{result: resultLeft}
+		return tryResult{result: resultLeft}
 	}
 	g.meter.RecordTry(processAge, restarted, category.Benefit, false)
-	return answer{result: resultTimeout}
+	return tryResult{result: resultTimeout}
 }
 
 // command encodes a command as a RESP array of bulk strings.
--- a/lab/measure/measure.go
+++ b/lab/measure/measure.go
@@ -27,9 +27,9 @@
 
 // Second holds the measurements of one second of a run.
 type Second struct {
-	// Ops is the number of ops that were due.
+	// Ops is the number of ops that were due and sent.
 	Ops int `json:"ops"`
-	// BenefitRequested is the sum of the benefits of these ops.
+	// BenefitRequested is the sum of the benefits of these ops, without those whose client left.
 	BenefitRequested float64 `json:"asked"`
 	// BenefitInTime is the part of it that was answered within the target latency.
 	BenefitInTime float64 `json:"in_time"`
@@ -50,7 +50,7 @@
 	Conns int `json:"connections"`
 	// ConnsOpened is the number of connections that clients opened.
 	ConnsOpened int64 `json:"opened"`
-	// QueuedRequests is the number of requests that wait at all caches.
+	// QueuedRequests is the number of queued requests, summed over all caches.
 	QueuedRequests int `json:"waiting"`
 	// CPU is the number of cores that all proxies use.
 	CPU float64 `json:"cpu"`
@@ -63,7 +63,7 @@
 // GroupStats holds the measurements of a category, a tenant, or all ops.
 type GroupStats struct {
 	Name    string  `json:"name"`
-	Ops     int     `json:"ops"`
+	Ops     int     `json:"ops"`     // without those whose client left
 	Service float64 `json:"service"` // benefit answered in time, as a share of the benefit requested
 	P50     float64 `json:"p50_ms"`
 	P90     float64 `json:"p90_ms"`
@@ -87,8 +87,8 @@
 	sendDelays    *hdrhistogram.Histogram // µs
 	tries         int
 	unsent        int
-	restartedAges [ageBuckets]AgeBucket // tries at restarted processes
-	peers         AgeBucket             // all other tries
+	restartedAges [ageBuckets]AgeBucket // tries at restarted processes younger than ageBuckets*ageBucketWidth
+	peers         AgeBucket             // tries at all other processes
 }
 
 // AgeBucket holds the measurements of tries at processes of one range of age.
@@ -121,7 +121,8 @@
 
 	// recoveredShare is the share of the reference service at which service counts as recovered.
 	recoveredShare = 0.98
-	// recoveryWindow is the number of seconds in a row that have to be recovered, so that a single good second does not count.
+	// recoveryWindow is the number of seconds over which service is averaged to tell whether it has recovered, since a single
+	// second says little.
 	recoveryWindow = 2
 	// worstWindow is the length of the window for the worst service, in seconds.
 	worstWindow = 10
@@ -142,8 +143,8 @@
 	}
 }
 
-// settleSeconds returns the age at which restarted processes serve within 2% of their peers, for two buckets in a row. It
-// returns 0 if no process was restarted, and -1 if the processes never serve as well.
+// settleSeconds returns the age from which the service of restarted processes, over two consecutive buckets together, is within
+// 2% of that of their peers. It returns 0 if no process was restarted, and -1 if the processes never serve as well.
 func settleSeconds(ages []AgeBucket, peers AgeBucket) float64 {
 	tries := 0
 	for i := range ages {
@@ -174,7 +175,8 @@
 	return m
 }
 
-// second returns the measurements of the second at a time. The caller holds the mutex.
+// second returns the measurements of the second at a time. The caller holds the mutex. Its latencies have 2 digits, to keep the
+// histograms small, and those above 1 minute are left out.
 func (m *Meter) second(at time.Duration) *Second {
 	n := max(int(at/time.Second), 0)
 	for len(m.seconds) <= n {
@@ -190,7 +192,7 @@
 	update(m.second(at))
 }
 
-// RecordSendDelay records how long after it was due the lab sent the first try of an op.
+// RecordSendDelay records how long after it was due the lab began an op.
 func (m *Meter) RecordSendDelay(delay time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -265,10 +267,10 @@
 	SettleSeconds float64 `json:"settled_s"`
 	// RecoverySeconds is the time from the end of the last fault until service has recovered; -1 if it has not.
 	RecoverySeconds float64 `json:"back_s"`
-	// SendDelayP50 and SendDelayP99 are the delays with which the lab sent first tries, in ms.
+	// SendDelayP50 and SendDelayP99 are the delays after the time due with which the lab began ops, in ms.
 	SendDelayP50 float64 `json:"lab_late_p50_ms"`
 	SendDelayP99 float64 `json:"lab_late_p99_ms"`
-	// SentWithin5ms is the share of first tries that the lab sent within 5 ms of the time due.
+	// SentWithin5ms is the share of ops that the lab began within 5 ms of the time due.
 	SentWithin5ms float64 `json:"lab_sent_within_5ms"`
 	// UnsentOps is the number of ops that were not sent because the lab was overloaded.
 	UnsentOps int `json:"lab_overload"`
@@ -298,7 +300,7 @@
 		SendDelayP50: milliseconds(m.sendDelays.ValueAtQuantile(50)),
 		SendDelayP99: milliseconds(m.sendDelays.ValueAtQuantile(99)),
 		UnsentOps:    m.unsent,
-		TriesPerOp:   float64(m.tries),
+		TriesPerOp:   float64(m.tries), // divided by the number of ops below
 	}
 	for _, group := range m.categories {
 		stats.Categories = append(stats.Categories, group.summarize())
@@ -313,12 +315,13 @@
 		}
 	}
 	stats.SentWithin5ms = float64(sentInTime) / float64(max(m.sendDelays.TotalCount(), 1))
-	ops, last := 0, min(int(m.exp.Length.Std()/time.Second), len(m.seconds))
+	// Only whole seconds within the experiment's length count for worst and recovered service.
+	ops, end := 0, min(int(m.exp.Length.Std()/time.Second), len(m.seconds))
 	for i, second := range m.seconds {
 		ops += second.Ops
 		second.P50 = milliseconds(second.latencies.ValueAtQuantile(50))
 		second.P99 = milliseconds(second.latencies.ValueAtQuantile(99))
-		if from := int(m.exp.WarmUp.Std() / time.Second); i >= from && i+worstWindow <= last {
+		if from := int(m.exp.WarmUp.Std() / time.Second); i >= from && i+worstWindow <= end {
 			if service := serviceOf(m.seconds[i : i+worstWindow]); service < stats.Worst10s {
 				stats.Worst10s, stats.Worst10sStart = service, i
 			}
@@ -333,7 +336,7 @@
 			stats.RestartedByAge = append(stats.RestartedByAge, m.restartedAges[i].summarize())
 		}
 	}
-	stats.RecoverySeconds = recoverySeconds(m.exp, m.seconds[:last])
+	stats.RecoverySeconds = recoverySeconds(m.exp, m.seconds[:end])
 	stats.Seconds = m.seconds
 	return stats
 }
@@ -347,8 +350,8 @@
 	return inTime / max(requested, minBenefit)
 }
 
-// recoverySeconds returns the time from the end of the last fault until service is within 2% of its level before the first
-// fault, for two seconds in a row. It returns 0 if there is no fault, or nothing measured before it, and -1 if service does
+// recoverySeconds returns the time from the end of the last fault until service, over recoveryWindow seconds together, is within
+// 2% of its level before the first fault. It returns 0 if there is no fault, or nothing measured before it, and -1 if service does
 // not recover.
 func recoverySeconds(exp *experiment.File, seconds []*Second) float64 {
 	firstFault, faultsEnd := exp.Length.Std(), time.Duration(0)
@@ -368,7 +371,7 @@
 	return -1
 }
 
-// RecentService returns the number of ops and the service of the second before the one at a time. It is used to show
+// RecentService returns the number of ops and the service of the last complete second before a time. It is used to show
 // progress.
 func (m *Meter) RecentService(at time.Duration) (ops int, service float64) {
 	m.mu.Lock()
--- a/lab/measure/measure_test.go
+++ b/lab/measure/measure_test.go
@@ -7,7 +7,7 @@
 	"minttray/lab/experiment"
 )
 
-// TestSettleSeconds checks that processes count as settled only if two buckets in a row are as good as the peers.
+// TestSettleSeconds checks that processes count as settled only if two consecutive buckets together are as good as the peers.
 func TestSettleSeconds(t *testing.T) {
 	peers := AgeBucket{Service: 0.9}
 	for want, services := range map[float64][]float64{0: {0.9, 0.9, 0.1, 0.1}, 1: {0.2, 0.5, 0.9, 0.89, 0.5}, -1: {0.2, 0.9, 0.2, 0.9}} {
--- a/tools/citest/main.go
+++ b/tools/citest/main.go
@@ -3,7 +3,7 @@
 //	citest [flags of go test] [-- packages]
 //
 // Without packages all are tested. Listed tests run with the others, and each is printed with its outcome. The run fails
-// if any other test fails, if a listed test does not exist, or if more than three are listed.
+// if any other test fails, if a listed test has no result, or if more than three are listed.
 package main
 
 import (
--- a/tools/citest/main_test.go
+++ b/tools/citest/main_test.go
@@ -65,9 +65,9 @@
 		{"one fails", good + bad, nil, "planted TestBad failed", "1 passed, 1 failed"},
 		{"a known one fails", good + bad, known("TestBad"), "", "known failure: planted TestBad: fail (planted; issue 0)"},
 		{"another than the known one fails", good + bad, known("TestGood"), "planted TestBad failed", "known failure: planted TestGood: pass"},
-		{"a listed one does not exist", good, known("TestGone"), "does not exist", ""},
+		{"a listed one does not exist", good, known("TestGone"), "has no result", ""},
 		{"a known one panics", good + "func TestPanic(t *testing.T) { panic(1) }\n", known("TestPanic"), "did not run", ""},
-		{"it does not build", "func TestBad(", known("TestBad"), "does not exist", ""},
+		{"it does not build", "func TestBad(", known("TestBad"), "has no result", ""},
 		{"the process ends", "func TestExit(t *testing.T) { os.Exit(3) }\n", nil, "failed", ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/tools/citest/results.go
+++ b/tools/citest/results.go
@@ -29,8 +29,8 @@
 // results collects the results of all runs of go test.
 type results struct {
 	outcomes       map[testID]outcome
-	testOutput     map[testID][]string
-	failedPackages map[string][]string // what each failed package printed outside of its tests
+	testOutput     map[testID][]string // output of the tests that did not pass, and were not skipped, in their latest run
+	failedPackages map[string][]string // the packages that failed, with their packageOutput
 	packageOutput  map[string][]string // what each package printed outside of its tests
 }
 
@@ -87,7 +87,8 @@
 	}
 }
 
-// record records one event. Subtests count for their top-level test.
+// record records one event. Output of a subtest belongs to its top-level test; the outcome of a subtest is ignored, as its
+// top-level test fails with it.
 func (r *results) record(e event, progress io.Writer) {
 	name, _, _ := strings.Cut(e.Test, "/")
 	id := testID{e.Package, name}
@@ -117,6 +118,7 @@
 	return latest
 }
 
+// anyFailed reports whether any of the packages failed, in this run of go test or an earlier one.
 func (r *results) anyFailed(packages []string) bool {
 	for _, name := range packages {
 		if _, found := r.failedPackages[name]; found {
@@ -135,7 +137,7 @@
 		expected[k.testID] = true
 		result, ran := r.outcomes[k.testID]
 		if !ran {
-			faults = append(faults, fmt.Errorf("%v is listed in %s and does not exist", k.testID, knownFile))
+			faults = append(faults, fmt.Errorf("%v is listed in %s but has no result", k.testID, knownFile))
 			continue
 		}
 		fmt.Fprintf(out, "known failure: %v: %s (%s; %s)\n", k.testID, result, k.cause, k.issue)
@@ -161,8 +163,8 @@
 			faults = append(faults, fmt.Errorf("%v is listed, but panics: other tests of its package did not run", id))
 		}
 	}
-	unexpected := len(faults)
-	fmt.Fprintf(out, "%d passed, %d failed, %d skipped\n", count[passed], unexpected, count[skipped])
+	faultCount := len(faults)
+	fmt.Fprintf(out, "%d passed, %d failed, %d skipped\n", count[passed], faultCount, count[skipped])
 	return errors.Join(faults...)
 }
 
@@ -177,7 +179,7 @@
 	return failing
 }
 
-// panicked reports whether a test ended its process by a panic.
+// panicked reports whether a test printed a line that begins with "panic: ", as a test does that ends its process by a panic.
 func (r *results) panicked(id testID) bool {
 	for _, line := range r.testOutput[id] {
 		if strings.HasPrefix(line, "panic: ") {
