--- a/cmd/mintbase/main.go
+++ b/cmd/mintbase/main.go
@@ -1,5 +1,5 @@
-// Command mintbase is a proxy that replaces minttray's decision module by a simple baseline rule, or by a deliberately faulty one, for
-// comparison in the laboratory. It is not meant for production.
+// Command mintbase is a proxy for comparisons and tests in the laboratory. By the environment variable MINTBASE_RULE it replaces minttray's
+// decision module by a baseline, or runs a deliberately faulty proxy. It is not meant for production.
 package main
 
 import (
--- a/cmd/mintlab/main.go
+++ b/cmd/mintlab/main.go
@@ -25,8 +25,8 @@
 const (
 	exitPassed    = 0
 	exitViolation = 1 // a rule was broken or a proxy crashed
-	exitBadInput  = 2 // unusable input
-	exitInvalid   = 3 // a run that proves nothing
+	exitBadInput  = 2 // unusable arguments or files
+	exitInvalid   = 3 // a run failed, was stopped, or is no valid evidence
 )
 
 // exitStatus is an error that carries the exit status alone; the message has been printed already.
@@ -43,14 +43,22 @@
 		Short:         "Runs experiments with real proxies and stand-in caches, origin and discovery on loopback, and judges them.",
 		Long: `mintlab starts real proxies (bin/minttray) with stand-in caches, an origin and discovery agents, sends
 them open-loop load, injects the faults of an experiment file, and judges from a ledger of all requests
-and answers whether the four rules were kept.
+and answers whether the routing rules were kept: on answers, repeated pushes, leaving and cold caches,
+and deadlines.
 
     mintlab run experiments/calm.toml            run one experiment; results under runs/
     mintlab check experiments/*.toml             report errors in files, by line and field
     mintlab compare runs/A runs/B                compare two sets of runs with the same seeds
-    mintlab logs DIR                             sum the counters of a fleet's proxies by second
+    mintlab logs DIR                             sum the counters of a fleet's proxies by time interval
+    mintlab world FILE                           run caches, origin and discovery alone, to try a proxy by hand
+    mintlab soak                                 run random deployments and faults, one for each seed
+    mintlab plan FILE                            write the input of minttray plan, or compare a plan with a run
+    mintlab report DIR...                        print the summaries of runs and a table of them
+    mintlab judge FILE LEDGER                    judge the ledger of a run again
+    mintlab worth FILE SITE...                   score the module without each of its mechanisms in turn
 
-Exit status: 0 rules kept, 1 a rule broken or a proxy crashed, 2 unusable input, 3 a run that proves nothing.`,
+Exit status: 0 rules kept, 1 a rule broken or a proxy crashed, 2 unusable arguments or files, 3 a run that failed,
+was stopped, or is no valid evidence.`,
 	}
 	root.AddCommand(
 		runCommand(),
@@ -109,7 +117,7 @@
 		Use:   "run FILE...",
 		Short: "Runs experiments.",
 		Args:  cobra.MinimumNArgs(1),
-		Long: `Runs each experiment for each rule, each value of the sweep and each seed. Each run writes a directory
+		Long: `Runs each experiment for each decision rule, each value of the sweep and each seed. Each run writes a directory
 with result.json, summary.txt, plots and report.html.`,
 		RunE: func(cmd *cobra.Command, paths []string) error {
 			stop := stopOnSignal()
@@ -123,12 +131,12 @@
 			}
 			// All files are checked before the first run starts.
 			type job struct {
-				path        string
-				rule        string
-				variant     string // value of the sweep; empty: none
-				seed        uint64
-				exp         *experiment.File
-				drawnFaults uint64 // seed of a drawn timeline; 0: the timeline of the file
+				path         string
+				rule         string
+				variant      string // value of the swept field; empty: none
+				seed         uint64
+				exp          *experiment.File
+				timelineSeed uint64 // seed of the drawn timeline; 0: that of the file, or drawn with seed 0
 			}
 			var jobs []job
 			for _, path := range paths {
@@ -164,8 +172,8 @@
 										jobs[len(jobs)-1].exp = &redrawn
 									}
 									last := &jobs[len(jobs)-1]
-									last.drawnFaults = uint64(drawnFrom + k)
-									last.exp.DrawFaults(last.drawnFaults)
+									last.timelineSeed = uint64(drawnFrom + k)
+									last.exp.DrawFaults(last.timelineSeed)
 								}
 							}
 						}
@@ -180,9 +188,9 @@
 					name += "-" + strings.NewReplacer("/", "_", " ", "").Replace(key+"="+j.variant)
 					j.exp.Name += " " + key + "=" + j.variant
 				}
-				if j.drawnFaults > 0 {
-					name += fmt.Sprintf("-drawn-%d", j.drawnFaults)
-					j.exp.Name += fmt.Sprintf(" drawn %d", j.drawnFaults)
+				if j.timelineSeed > 0 {
+					name += fmt.Sprintf("-drawn-%d", j.timelineSeed)
+					j.exp.Name += fmt.Sprintf(" drawn %d", j.timelineSeed)
 				}
 				options := run.Options{Dir: filepath.Join(outDir, name), Command: []string{proxy}, Rule: j.rule, Stop: stop}
 				if j.rule != "minttray" {
@@ -201,9 +209,10 @@
 				}
 				results = append(results, result)
 				fmt.Fprintf(cmd.OutOrStdout(), "%sreport: %s\n\n", result.Summary(), filepath.Join(options.Dir, "report.html"))
-				if j.drawnFaults > 0 && result.ExitStatus() == exitViolation {
-					fmt.Fprintf(cmd.OutOrStdout(), "repeat with: mintlab run %s --seeds %d --drawn 1 --drawn-from %d\n\n", j.path, j.seed, j.drawnFaults)
+				if j.timelineSeed > 0 && result.ExitStatus() == exitViolation {
+					fmt.Fprintf(cmd.OutOrStdout(), "repeat with: mintlab run %s --seeds %d --drawn 1 --drawn-from %d\n\n", j.path, j.seed, j.timelineSeed)
 				}
+				// A violation outranks all other statuses.
 				if s := result.ExitStatus(); s == exitViolation || s > worst && worst != exitViolation {
 					worst = s
 				}
@@ -223,13 +232,13 @@
 		},
 	}
 	command.Flags().StringVar(&outDir, "out", "runs", "directory of the results, with a subdirectory for each run")
-	command.Flags().StringVar(&proxy, "proxy", "bin/minttray", "program of the proxy; mintbase is expected in the same directory")
+	command.Flags().StringVar(&proxy, "proxy", "bin/minttray", "program of the proxy; mintbase, which runs the baselines, is expected in the same directory")
 	command.Flags().StringVar(&rules, "rules", "minttray", "decision rules: minttray, or baselines: "+strings.Join(baseline.Names, ","))
 	command.Flags().UintSliceVar(&seeds, "seeds", nil, "seeds that replace the file's")
 	command.Flags().IntVar(&repeat, "repeat", 1, "runs for each seed, with consecutive seeds")
 	command.Flags().StringVar(&sweep, "sweep", "", "key=a,b,c: one run for each value, such as load.rate=500,1000")
 	command.Flags().StringArrayVar(&overrides, "set", nil, "key=value that overrides a field of the file; may be repeated")
-	command.Flags().IntVar(&drawn, "drawn", 0, "number of runs with a timeline drawn from a seed of its own in place of the file's")
+	command.Flags().IntVar(&drawn, "drawn", 0, "runs for each seed, each with a random timeline of faults in place of the file's; their seeds start at --drawn-from")
 	command.Flags().IntVar(&drawnFrom, "drawn-from", 1, "seed of the first drawn timeline")
 	command.Flags().BoolVar(&quiet, "quiet", false, "print no progress")
 	return command
@@ -326,14 +335,14 @@
 	return &cobra.Command{
 		Use:   "compare A B",
 		Short: "Compares two sets of runs, in pairs of the same experiment and seed.",
-		Long:  "A and B are directories of runs, directories that hold such, or quoted patterns ('runs/*-minttray-*').",
+		Long:  "A and B are directories of a run, directories that hold those of several runs, or quoted patterns ('runs/*-minttray-*').",
 		Args:  cobra.ExactArgs(2),
 		RunE: func(cmd *cobra.Command, sides []string) error {
 			var both [2][]*report.Result
 			for i, side := range sides {
 				dirs, err := filepath.Glob(side)
 				if err != nil || len(dirs) == 0 {
-					return fmt.Errorf("%s: no such directory", side)
+					return fmt.Errorf("%s: no directory matches, or the pattern is malformed", side)
 				}
 				if _, err := os.Stat(filepath.Join(dirs[0], "result.json")); len(dirs) == 1 && err != nil {
 					dirs, _ = filepath.Glob(filepath.Join(dirs[0], "*"))
@@ -404,7 +413,7 @@
 			return sum.Write(cmd.OutOrStdout(), match)
 		},
 	}
-	command.Flags().DurationVar(&span, "span", span, "time interval of a column")
+	command.Flags().DurationVar(&span, "span", span, "length of the time interval of each column")
 	command.Flags().StringVar(&match, "match", "", "print only rows whose name contains this text")
 	return command
 }
--- a/cmd/mintlab/soak.go
+++ b/cmd/mintlab/soak.go
@@ -9,7 +9,7 @@
 	"minttray/lab/run"
 )
 
-// soakCommand runs drawn experiments.
+// soakCommand runs soak tests: random experiments.
 func soakCommand() *cobra.Command {
 	var outDir, proxy string
 	var seeds, parallel int
@@ -17,9 +17,9 @@
 	var length time.Duration
 	command := &cobra.Command{
 		Use:   "soak",
-		Short: "Runs drawn deployments and faults, one experiment for each seed, and judges them.",
+		Short: "Runs random deployments and faults, one experiment for each seed, and judges them.",
 		Args:  cobra.NoArgs,
-		Long: `Runs drawn experiments. Each seed draws a deployment (proxies, up to 3,200 caches, deadlines from 60 ms to 3 s, effects, limits) and its
+		Long: `Runs random experiments. Each seed draws a deployment (proxies, up to 3,200 caches, deadlines from 60 ms to 3 s, effects, limits) and its
 faults (releases, restarts, series of signals, idle connections, resets, discovery outages, stalls). Prints a table row for each seed, and the
 command that repeats a failed one.`,
 		RunE: func(cmd *cobra.Command, _ []string) error {
--- a/lab/baseline/baseline.go
+++ b/lab/baseline/baseline.go
@@ -1,5 +1,6 @@
-// Package baseline holds simple routing policies to compare the routing module with. They follow the rules on retries and
-// answers as far as a simple policy can, learn nothing, and are never part of the daemon.
+// Package baseline holds simple routing policies, called decision rules on the command line of the laboratory, that the routing module is
+// compared with. They keep the rules on repeated pushes and on answers as far as a simple policy can, learn nothing, and are never part of
+// the daemon.
 package baseline
 
 import (
@@ -12,25 +13,25 @@
 	"minttray/policy"
 )
 
-// Names are the names of the policies. The last one is not meant for comparisons: it repeats any op, whatever an earlier
-// push may have done, and is an injected fault that the ledger has to find.
+// Names are the names of the policies. The last one is not meant for comparisons: it pushes any op again, whatever an earlier push may have
+// done. It breaks the rule on repeated pushes on purpose, to test that the judge of the ledger reports it.
 var Names = []string{"random", "rendezvous", "least", reckless}
 
 const reckless = "reckless"
 
-// maxCacheTries is the largest number of caches that an op is pushed to.
-const maxCacheTries = 2
+// maxCachesPerOp is the largest number of caches that an op is pushed to.
+const maxCachesPerOp = 2
 
-// server is a listed server.
+// server is a server that is listed, or that still has pushes in progress.
 type server struct {
 	policy.Entry
-	pushes int // in progress
+	pushes int // number of pushes in progress
 }
 
 // push is a push in progress.
 type push struct {
-	n      int // number of the push within its op
-	server uint32
+	n      int    // number of the push within its op, from 0
+	server uint32 // ID
 }
 
 // op is an op in progress.
@@ -40,27 +41,27 @@
 	category   *policy.Category
 	write      bool
 	deadline   policy.Time
-	pushes     int      // so far
+	pushes     int      // made so far
 	current    *push    // nil if no push is in progress
-	tried      []uint32 // caches that it was pushed to
+	pushedTo   []uint32 // caches that it was pushed to
 	mayHaveRun bool     // an ended push may have had an effect
 	missed     bool     // a cache did not have the key
-	answered   bool     // or its client left
+	closed     bool     // it was answered, or its client has left
 }
 
-// Rule is a routing policy that takes the place of the routing module.
+// Rule is a routing policy that takes the place of the routing module. It implements engine.Module.
 type Rule struct {
 	policy.Settings
 	name    string
 	host    policy.Host
 	random  uint64 // state of the random number generator
 	servers map[uint32]*server
-	ready   []*server // listed caches that are ready, by ID
+	ready   []*server // listed caches that are ready, sorted by ID
 	origin  *server   // nil if none is listed
 	ops     map[uint32]*op
 }
 
-// New returns the policy with a name. It returns an error if there is none.
+// New returns the policy with a name, which acts through h. It returns an error for an unknown name.
 func New(name string, s policy.Settings, seed uint64, h policy.Host) (*Rule, error) {
 	if !slices.Contains(Names, name) {
 		return nil, fmt.Errorf("unknown baseline %q, expected one of %s", name, strings.Join(Names, ", "))
@@ -125,18 +126,19 @@
 	r.pushNext(o)
 }
 
-// Bits of the score of the "least" policy: the free places of a cache, then a random number to break ties.
+// The score of the "least" policy is maxCountedPushes less the pushes in progress, in the high bits, followed by tieBreakBits random bits
+// that break ties.
 const (
 	maxCountedPushes = 1 << 20
 	tieBreakBits     = 40
 )
 
-// choose returns the cache with the highest score among the ready caches that were not tried, or nil.
+// choose returns the cache with the highest score among the ready caches that the op was not pushed to, or nil.
 func (r *Rule) choose(o *op) *server {
 	var best *server
 	var bestScore uint64
 	for _, s := range r.ready {
-		if s.State != policy.Ready || slices.Contains(o.tried, s.ID) {
+		if s.State != policy.Ready || slices.Contains(o.pushedTo, s.ID) {
 			continue
 		}
 		var score uint64
@@ -160,10 +162,10 @@
 	now := r.host.Now()
 	var target *server
 	switch {
-	case now >= o.deadline || o.pushes >= r.MostPushes || o.mayHaveRun && !r.repeatable(o):
+	case now >= o.deadline || o.pushes >= r.MostPushes || o.mayHaveRun && !r.repeatable(o): // no further push is allowed
 	case r.Aside && (o.write || o.missed):
 		target = r.origin
-	case len(o.tried) < maxCacheTries:
+	case len(o.pushedTo) < maxCachesPerOp:
 		target = r.choose(o)
 	}
 	if target == nil {
@@ -172,7 +174,7 @@
 	}
 	o.current = &push{n: o.pushes, server: target.ID}
 	if o.pushes++; target != r.origin {
-		o.tried = append(o.tried, target.ID)
+		o.pushedTo = append(o.pushedTo, target.ID)
 	}
 	target.pushes++
 	r.host.Push(o.id, target.ID, o.deadline)
@@ -184,21 +186,21 @@
 // Learned returns an empty state, as nothing is learned.
 func (r *Rule) Learned() warm.LearnedState { return warm.LearnedState{} }
 
-// Recall ignores the state of an earlier process.
+// Recall ignores the learned state of an earlier process.
 func (r *Rule) Recall(warm.LearnedState) {}
 
-// HandBack answers an op at once, because the process ends.
+// HandBack answers an op at once; the engine calls it when the process ends.
 func (r *Rule) HandBack(id uint32) {
-	if o := r.ops[id]; o != nil && !o.answered {
+	if o := r.ops[id]; o != nil && !o.closed {
 		o.mayHaveRun = o.mayHaveRun || o.current != nil
 		r.giveUp(o)
 	}
 }
 
-// Retune replaces the settings. Ops in progress keep the category that they started with.
+// Retune replaces the settings after a reload. Ops in progress keep the category that they started with.
 func (r *Rule) Retune(s policy.Settings) { r.Settings = s }
 
-// repeatable reports whether an op may be pushed again after it may have run.
+// repeatable reports whether the policy pushes an op again although an earlier push may have run.
 func (r *Rule) repeatable(o *op) bool {
 	return o.category.Effect == policy.Redeliverable || r.name == reckless
 }
@@ -221,24 +223,24 @@
 	o.current = nil
 	o.mayHaveRun = o.mayHaveRun || !outcome.NotExecuted()
 	switch {
-	case terminal || o.answered || outcome == policy.Acked:
+	case terminal || o.closed || outcome == policy.Acked:
 		delete(r.ops, id)
 	case outcome == policy.Miss:
 		o.missed = true
 		r.pushNext(o)
-	case o.missed || r.Aside && o.write: // the origin failed
+	case o.missed || r.Aside && o.write: // the push after a miss, or a write to the origin, failed
 		r.giveUp(o)
 	default:
 		r.pushNext(o)
 	}
 }
 
-// retryAfterDivisor makes the retry-after time of a nack from the target latency.
+// retryAfterDivisor is what the target latency is divided by to give the retry-after time of a nack.
 const retryAfterDivisor = 4
 
-// giveUp answers an op with a nack if a repeat is harmless, and with an error otherwise.
+// giveUp answers an op with a nack if its client may safely repeat it, and with an error otherwise.
 func (r *Rule) giveUp(o *op) {
-	o.answered = true
+	o.closed = true
 	if !o.mayHaveRun || r.repeatable(o) || o.category.Effect == policy.Deduplicated && o.category.Group == policy.GroupAll {
 		r.host.Nack(o.id, min(o.category.Target/retryAfterDivisor, r.MaxRetryAfter))
 	} else {
@@ -247,10 +249,10 @@
 	delete(r.ops, o.id)
 }
 
-// ClientLeft cancels an op that no client waits for any more.
+// ClientLeft ends an op whose client has left. A push in progress is cancelled if the settings allow it.
 func (r *Rule) ClientLeft(id uint32) {
 	if o := r.ops[id]; o != nil {
-		o.answered = true
+		o.closed = true
 		if o.current == nil {
 			delete(r.ops, id)
 		} else if r.Cancelling {
@@ -262,5 +264,5 @@
 // TimerDue does nothing: the policies set no timers.
 func (r *Rule) TimerDue(uint64) {}
 
-// Judged returns zero counts: the policies count nothing.
+// Judged returns the policy's counters, which are all zero: the policies count nothing.
 func (r *Rule) Judged() policy.Counts { return policy.Counts{} }
--- a/lab/baseline/baseline_test.go
+++ b/lab/baseline/baseline_test.go
@@ -31,7 +31,7 @@
 func (h *fakeHost) Log(string)                        {}
 
 // TestBaselinesKeepTheRules checks that the baselines repeat and answer ops only as their effects allow. A comparison with a
-// baseline that breaks these rules would prove nothing.
+// baseline that breaks these rules would not be valid evidence.
 func TestBaselinesKeepTheRules(t *testing.T) {
 	for _, name := range Names[:len(Names)-1] { // the last one breaks the rules on purpose
 		for _, c := range []struct {
--- a/lab/baseline/faulty.go
+++ b/lab/baseline/faulty.go
@@ -13,8 +13,8 @@
 	"github.com/tidwall/redcon"
 )
 
-// Names of faulty proxies. They stand for faults that no policy can cause, because the engine prevents them. The ledger has
-// to find them.
+// Names of faulty proxies. They have faults that no policy can cause, because the engine prevents them. They test that the judge of the
+// ledger reports these faults.
 const (
 	IgnoresClientClose     = "deaf"            // sends each request after a delay, without checking that its client is still connected
 	ForwardsClientDeadline = "client-deadline" // sends each request twice, the second time later but with the client's whole deadline
@@ -31,7 +31,7 @@
 }
 
 const (
-	// closeInterval is the number of requests of which one is dropped.
+	// closeInterval is the number of requests among which the connection of one is closed.
 	closeInterval = 7
 	// discoveryTimeout bounds the request for the list of caches.
 	discoveryTimeout = 5 * time.Second
--- a/lab/experiment/check.go
+++ b/lab/experiment/check.go
@@ -55,7 +55,7 @@
 	}
 }
 
-// applyDefaults sets the defaults of the fields that a file left out in lists, and of lists that it left out as a whole.
+// applyDefaults sets the defaults of fields that a file left out in its categories, and adds a category and a tenant if there are none.
 func (f *File) applyDefaults() {
 	if len(f.Categories) == 0 {
 		f.Categories = []Category{{Name: "read", Share: 1, Work: Duration(10 * time.Millisecond), Benefit: 1}}
@@ -82,12 +82,12 @@
 		}
 	}
 	if len(f.Tenants) == 0 {
-		f.Tenants = []Tenant{{Name: "all", Share: 1, Quota: 4 * f.Load.Rate}}
+		f.Tenants = []Tenant{{Name: "all", Share: 1, Quota: 4 * f.Load.Rate}} // a quota far above the load
 	}
 }
 
-// findBareDurations reports durations that were written as numbers without a unit, which the decoder reads as nanoseconds. v is a struct
-// and path the prefix of its fields.
+// findBareDurations reports nonzero durations below 1 µs, which were most likely written as numbers without a unit: the decoder reads these
+// as nanoseconds. v is a struct and path the prefix of its fields.
 func findBareDurations(v reflect.Value, path string, report func(field string)) {
 	for i := range v.NumField() {
 		tag, field := v.Type().Field(i).Tag.Get("toml"), v.Field(i)
@@ -107,7 +107,7 @@
 	}
 }
 
-// check returns an error for the first invalid field, with its file and line.
+// check returns an error for the first invalid field, with its file, and its line if the file contains the field (else 0).
 func (f *File) check() error {
 	var err error
 	require := func(field string, ok bool, format string, args ...any) {
@@ -129,7 +129,7 @@
 		require(field, ok, "%q is none of %s", v, strings.Join(options, ", "))
 	}
 	findBareDurations(reflect.ValueOf(f).Elem(), "", func(field string) { require(field, false, "duration without a unit") })
-	require("name", f.Name != "" && !strings.ContainsAny(f.Name, "/\\ "), "%q is not a name without spaces and slashes", f.Name)
+	require("name", f.Name != "" && !strings.ContainsAny(f.Name, "/\\ "), "%q must not be empty or contain spaces, slashes or backslashes", f.Name)
 	durationInRange("length", f.Length, time.Second, 24*time.Hour)
 	durationInRange("warm", f.WarmUp, 0, f.Length.Std()-time.Second)
 	inRange("proxies.count", float64(f.Proxies.Count), 1, 64)
@@ -161,21 +161,21 @@
 	inRange("clients.leave", f.Clients.LeaveShare, 0, 1)
 	inRange("clients.heed", f.Clients.RetryAfterShare, 0, 1)
 	inRange("rules.most_pushes", float64(f.Rules.MaxPushes), 1, 20)
-	zones := map[string]bool{"": true}
+	zones := map[string]bool{"": true} // faults without a zone are valid
 	for _, z := range f.Zones.Names {
 		zones[z] = true
 	}
 	tenants := map[string]bool{}
 	for i, t := range f.Tenants {
 		prefix := fmt.Sprintf("tenant[%d].", i)
-		require(prefix+"name", t.Name != "" && !tenants[t.Name] && !strings.ContainsAny(t.Name, ",= "), "%q is not a unique name without spaces, commas and equals signs", t.Name)
+		require(prefix+"name", t.Name != "" && !tenants[t.Name] && !strings.ContainsAny(t.Name, ",= "), "%q must be unique, not empty, and without spaces, commas and equals signs", t.Name)
 		tenants[t.Name] = true
 		inRange(prefix+"share", t.Share, 0, 1)
 	}
 	sum := 0.0
 	for i, c := range f.Categories {
 		prefix := fmt.Sprintf("category[%d].", i)
-		require(prefix+"name", c.Name != "" && !strings.ContainsAny(c.Name, ",= "), "%q is not a name without spaces, commas and equals signs", c.Name)
+		require(prefix+"name", c.Name != "" && !strings.ContainsAny(c.Name, ",= "), "%q must not be empty or contain spaces, commas or equals signs", c.Name)
 		oneOf(prefix+"effect", c.Effect, "redeliverable", "deduplicated", "at-most-once")
 		oneOf(prefix+"group", c.DedupGroup, "all", "zone")
 		durationInRange(prefix+"work", c.Work, 0, time.Minute)
@@ -207,7 +207,7 @@
 			require(prefix+"for", fault.Duration > 0, "proxy-waves needs a duration")
 		}
 		require(prefix+"to", zones[fault.ToZone] && (fault.ToZone == "" || fault.ToZone != fault.Zone && strings.HasPrefix(fault.Kind, "way-")),
-			"%q is not another zone, or the fault affects no links", fault.ToZone)
+			"%q must be a zone other than the fault's own, and only way- faults may have it", fault.ToZone)
 		if fault.Kind == "proxy-signals" {
 			oneOf(prefix+"by", fault.Mode, SignalSeries...)
 		}
--- a/lab/experiment/experiment.go
+++ b/lab/experiment/experiment.go
@@ -1,5 +1,6 @@
 // Package experiment reads experiment files: a deployment, its load, and a timeline of faults. Files are TOML and are decoded
-// strictly; durations are written with their unit ("250ms", "1m30s"). Errors name the file, the line and the field.
+// strictly; durations are written with their unit ("250ms", "1m30s"). Errors name the file and the field, and the line if the file contains
+// the field.
 package experiment
 
 import (
@@ -34,7 +35,7 @@
 // Std returns the duration as a time.Duration.
 func (s Duration) Std() time.Duration { return time.Duration(s) }
 
-// File is an experiment. Fields that a file leaves out have the values of Defaults.
+// File is an experiment. Fields that a file leaves out have the values of its base file, or else those of Defaults and applyDefaults.
 type File struct {
 	Name       string     `toml:"name"`
 	About      string     `toml:"about"` // what it shows
@@ -57,17 +58,17 @@
 	Faults     []Fault    `toml:"fault"`
 
 	path  string
-	lines map[string]int // line number of each field in the file, for errors
+	lines map[string]int // line number of each field that the file contains, for errors
 }
 
 // Proxies describes the proxy instances.
 type Proxies struct {
 	Count        int     `toml:"count"`
-	Cores        float64 `toml:"cores"`
-	MemoryMB     int     `toml:"memory_mb"`
-	Sockets      int     `toml:"sockets"` // limit of open sockets
-	PersistState bool    `toml:"learned"` // store learned state on disk, so that it survives a restart
-	DoubtShare   float64 `toml:"doubt"`   // a list that lacks more than this share of the known caches is doubted; 0: never
+	Cores        float64 `toml:"cores"`     // limit of each proxy
+	MemoryMB     int     `toml:"memory_mb"` // limit of each proxy
+	Sockets      int     `toml:"sockets"`   // limit of open sockets of each proxy
+	PersistState bool    `toml:"learned"`   // store learned state on disk, so that it survives a restart
+	DoubtShare   float64 `toml:"doubt"`     // share of the known caches, 0 to 1; a proxy holds a full list that lacks more until it was repeated for a while; 0: accepts every list
 }
 
 // Caches describes the cache servers, which differ in their machine kind alone.
@@ -75,16 +76,16 @@
 	Count             int      `toml:"count"`
 	Mode              string   `toml:"mode"` // on a miss: aside, the cache answers with a miss; through, it fetches from the origin
 	Cores             int      `toml:"cores"`
-	QueueLimit        int      `toml:"queue"` // requests that may wait for a core
-	MemoryMB          float64  `toml:"memory_mb"`
-	MaxConns          int      `toml:"connections"`
-	HandshakeWork     Duration `toml:"handshake"` // core time of a new connection
-	ColdCapacityShare float64  `toml:"cold_from"` // share of the capacity right after a cold start
-	WarmUp            Duration `toml:"warm_up"`   // from a cold start to full capacity
-	CancelMode        string   `toml:"cancel"`    // work cancelled when a proxy closes its connection: all, queued, none
-	ReportEvery       Duration `toml:"report_every"`
-	SmallShare        float64  `toml:"small"` // share of caches of the machine kind "small", which has half the cores
-	Prefilled         bool     `toml:"full"`  // start with the most requested keys stored
+	QueueLimit        int      `toml:"queue"`        // requests that may wait for a core
+	MemoryMB          float64  `toml:"memory_mb"`    // size of the stored values
+	MaxConns          int      `toml:"connections"`  // limit of open connections of each cache
+	HandshakeWork     Duration `toml:"handshake"`    // core time of a new connection
+	ColdCapacityShare float64  `toml:"cold_from"`    // share of the full capacity right after a cold start, 0 to 1
+	WarmUp            Duration `toml:"warm_up"`      // from a cold start to full capacity
+	CancelMode        string   `toml:"cancel"`       // work cancelled when a proxy closes its connection: all, queued, none
+	ReportEvery       Duration `toml:"report_every"` // interval at which a load report is renewed
+	SmallShare        float64  `toml:"small"`        // share of caches of the machine kind "small", which has half the cores; 0 to 1
+	Prefilled         bool     `toml:"full"`         // start with the most requested keys stored
 }
 
 // Origin describes the origin server, from which all caches are filled.
@@ -92,7 +93,7 @@
 	Cores         int      `toml:"cores"`
 	QueueLimit    int      `toml:"queue"`  // requests that may wait for a core
 	Work          Duration `toml:"work"`   // mean core time of a fetch
-	QueueSlowdown float64  `toml:"thrash"` // relative slowdown for each waiting request per core
+	QueueSlowdown float64  `toml:"thrash"` // work takes 1 + this x (waiting requests / cores) times as long
 }
 
 // Zones describes the zones, in which caches and proxies are spread evenly.
@@ -113,11 +114,11 @@
 	Share       float64  `toml:"share"`   // of the load
 	Work        Duration `toml:"work"`    // mean core time at a cache
 	Target      Duration `toml:"target"`  // latency up to which an answer earns its benefit
-	TTL         Duration `toml:"ttl"`     // deadline of an op
+	TTL         Duration `toml:"ttl"`     // time from the start of an op to its deadline
 	Benefit     float64  `toml:"benefit"` // value of an answer in time
 	Effect      string   `toml:"effect"`  // redeliverable, deduplicated, at-most-once
 	DedupGroup  string   `toml:"group"`   // caches that share the deduplication: all, zone
-	DedupWindow Duration `toml:"window"`  // how long a deduplicated op is remembered
+	DedupWindow Duration `toml:"window"`  // how long a write is recognized as a repeat of a deduplicated one
 	Write       bool     `toml:"write"`
 	Size        int      `toml:"size"` // of a value, in bytes
 }
@@ -152,7 +153,7 @@
 // Clients describes the behaviour of clients.
 type Clients struct {
 	Retries         int      `toml:"retries"`  // maximum per op
-	RetryDelay      Duration `toml:"wait"`     // before a retry without a retry-after time
+	RetryDelay      Duration `toml:"wait"`     // before a retry, unless the client respects a retry-after time
 	TryTimeoutShare float64  `toml:"patience"` // time-out of a try, as a share of the TTL
 	LeaveShare      float64  `toml:"leave"`    // share of the tries whose client disconnects early
 	RetryAfterShare float64  `toml:"heed"`     // share of the clients that respect a retry-after time
@@ -161,19 +162,20 @@
 
 // Balancer describes the balancer in front of the proxies.
 type Balancer struct {
-	DetectionDelay Duration `toml:"notice"` // for which it still sends connections to a dead proxy
+	DetectionDelay Duration `toml:"notice"` // how long it still sends connections to a dead proxy
 }
 
-// Rules are the parameters of the rules by which a run is judged.
+// Rules are the parameters of the rules by which a run is judged. A cold cache is overloaded if the work that it receives within an
+// OverloadWindow exceeds OverloadFactor times its capacity; see lab/ledger.
 type Rules struct {
-	DrainGrace            Duration `toml:"grace"` // for pushes to a cache after the list announced it as leaving or gone
-	OverloadFactor        float64  `toml:"fall_multiple"`
+	DrainGrace            Duration `toml:"grace"`         // how long pushes to a cache are allowed after the list announced it as leaving or gone
+	OverloadFactor        float64  `toml:"fall_multiple"` // multiple of the capacity; 0: not checked
 	OverloadWindow        Duration `toml:"tip_after"`
-	MaxPushes             int      `toml:"most_pushes"` // per op
-	AllowConcurrentPushes bool     `toml:"two_at_once"` // of one op
-	MaxRetryAfter         Duration `toml:"max_come_back"`
-	MaxRefusalDelay       Duration `toml:"held"`  // from the last push of an op to its refusal; 0: half of the TTL of its category
-	Slack                 Duration `toml:"slack"` // tolerance for delays of the machine
+	MaxPushes             int      `toml:"most_pushes"`   // per op
+	AllowConcurrentPushes bool     `toml:"two_at_once"`   // of one op
+	MaxRetryAfter         Duration `toml:"max_come_back"` // largest retry-after time that a proxy may give
+	MaxRefusalDelay       Duration `toml:"held"`          // from the last push of an op to its refusal; 0: half of the TTL of its category
+	Slack                 Duration `toml:"slack"`         // tolerance for delays of the machine
 }
 
 // Fault is one fault of the timeline.
@@ -181,24 +183,26 @@
 	Start       Duration `toml:"at"`  // from the start of the load
 	Duration    Duration `toml:"for"` // 0: until the end, or not applicable
 	Kind        string   `toml:"kind"`
-	Count       int      `toml:"count"` // of the caches or proxies affected; excludes Share
-	Share       float64  `toml:"share"` // of the caches or proxies affected
+	Count       int      `toml:"count"` // of the caches or proxies affected; excludes Share. Of hot-proxy: index of the proxy; of hot-key: number of hot keys
+	Share       float64  `toml:"share"` // of the caches or proxies affected, 0 to 1; of site-lost: of its caches, those that return; 0: all
 	Zone        string   `toml:"zone"`  // of the caches or proxies affected; empty: all zones
 	MachineKind string   `toml:"of"`    // of the caches affected: std, small; empty: both
-	Size        float64  `toml:"size"`  // see FaultKinds
+	Size        float64  `toml:"size"`  // see FaultKinds; of site-lost: seconds by which the list is late at the site on its return
 	BatchShare  float64  `toml:"batch"` // of rolling restarts and deploys: share restarted at a time
-	Downtime    Duration `toml:"down"`  // of restarts: until a process starts again
+	// Downtime is, of restarts and deploys, the time until a process starts again; of site-lost, the time between the two groups that return;
+	// of site-hand, the time over which the site is detached or attached.
+	Downtime Duration `toml:"down"`
 	// Mode is, of proxy-waves, the way of the restarts (term, kill, upgrade, mixed); of proxy-signals, one of SignalSeries; of link faults,
 	// the direction (both, in, out); of site-lost, what returns first (caches, proxies, together).
 	Mode   string `toml:"by"`
 	Name   string `toml:"name"` // of the tenant affected
-	ToZone string `toml:"to"`   // of link faults: the other zone; empty: all others
+	ToZone string `toml:"to"`   // of way- faults: the other zone; empty: all others
 
 	LosesOrigin bool `toml:"origin"` // of site-lost: the origin is at that site and is lost with it
 	NewIDs      bool `toml:"anew"`   // of site-lost: its caches return under new ids
 }
 
-// FaultKinds maps each kind of fault to the meaning of its Size; empty: it has none.
+// FaultKinds maps each kind of fault to the meaning of its Size, which must be above 0; empty: no Size is needed.
 var FaultKinds = map[string]string{
 	"kill":          "",
 	"replace":       "",
@@ -249,18 +253,18 @@
 var SignalSeries = []string{"term-twice", "hup-in-drain", "hups", "kill-after-term"}
 
 const (
-	maxCountedDeadline = 3 * time.Second        // longer deadlines do not delay a SIGKILL further
-	killMargin         = 700 * time.Millisecond // from the longest counted deadline to a SIGKILL
+	maxTTLBeforeKill = 3 * time.Second        // a longer TTL does not delay a SIGKILL further
+	killMargin       = 700 * time.Millisecond // added to the longest TTL, up to maxTTLBeforeKill
 )
 
-// KillAfter returns how long after SIGTERM a process may be killed at the earliest: the longest deadline of the deployment and a
-// margin.
+// KillAfter returns how long after SIGTERM a process may be killed at the earliest: the longest TTL of the deployment, but at most
+// maxTTLBeforeKill, plus killMargin.
 func (f *File) KillAfter() time.Duration {
 	longest := time.Duration(0)
 	for _, c := range f.Categories {
 		longest = max(longest, c.TTL.Std())
 	}
-	return min(longest, maxCountedDeadline) + killMargin
+	return min(longest, maxTTLBeforeKill) + killMargin
 }
 
 // ZoneOfProxy returns the zone index of a proxy.
@@ -284,7 +288,7 @@
 	})
 }
 
-// Read decodes and checks a file. overlay holds key=value pairs that override its fields, as sweeps need them.
+// Read decodes and checks a file. overlay holds key=value pairs that override its fields, such as load.rate=500.
 func Read(path string, overlay ...string) (*File, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -317,19 +321,19 @@
 		return nil, err
 	}
 	for _, assignment := range overlay {
-		table, value, ok := strings.Cut(assignment, "=")
+		key, value, ok := strings.Cut(assignment, "=")
 		if !ok {
 			return nil, fmt.Errorf("override %q: want key=value", assignment)
 		}
-		line := value
+		tomlValue := value
 		if _, err := time.ParseDuration(value); err == nil && strings.Trim(value, "0123456789.") != "" {
-			line = fmt.Sprintf("%q", value)
+			tomlValue = fmt.Sprintf("%q", value)
 		}
-		tableHeader, key := "", table
-		if i := strings.LastIndexByte(table, '.'); i >= 0 {
-			tableHeader, key = "["+table[:i]+"]\n", table[i+1:]
+		tableHeader, field := "", key
+		if i := strings.LastIndexByte(key, '.'); i >= 0 {
+			tableHeader, field = "["+key[:i]+"]\n", key[i+1:]
 		}
-		if err := strict.Decode(assignment, tableHeader+key+" = "+line, f); err != nil {
+		if err := strict.Decode(assignment, tableHeader+field+" = "+tomlValue, f); err != nil {
 			return nil, err
 		}
 	}
--- a/lab/experiment/experiment_test.go
+++ b/lab/experiment/experiment_test.go
@@ -11,7 +11,7 @@
 const good = "name = \"x\"\nlength = \"10s\"\n"
 
 // An invalid file must be rejected with the file, the line and the field.
-func TestWhatIsWrongIsNamed(t *testing.T) {
+func TestInvalidFileErrors(t *testing.T) {
 	for _, c := range []struct{ text, want string }{
 		{good, ""},
 		{good + "[load]\nrate = 12.5\n", ""},
--- a/lab/experiment/soak.go
+++ b/lab/experiment/soak.go
@@ -11,11 +11,11 @@
 const (
 	soakSlack  = 500 * time.Millisecond // tolerance after a deadline, in which an answer is worthless but not counted as lost
 	soakWarmUp = time.Second
-	soakMinTTL = 60 * time.Millisecond
-	soakMaxTTL = 3 * time.Second
+	soakMinTTL = 60 * time.Millisecond // of a category
+	soakMaxTTL = 3 * time.Second       // of a category
 
-	soakStream     = 0x736f616b // keeps drawn experiments independent of other uses of the same seed
-	throttleStream = 0x71756f74 // of the draws for throttling alone, so that they leave the rest of an experiment as it is
+	soakStream     = 0x736f616b // makes drawn experiments independent of other uses of the same seed; "soak" in ASCII
+	throttleStream = 0x71756f74 // for the draws of throttling, so that they leave the rest of an experiment as it is; "quot" in ASCII
 )
 
 // Soak draws a deployment and its timeline from a seed: from a few caches to thousands, deadlines from 60 ms to 3 s, one proxy or several,
--- a/lab/experiment/timeline.go
+++ b/lab/experiment/timeline.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// timelineStream keeps drawn timelines independent of other uses of the same seed.
+// timelineStream makes drawn timelines independent of other uses of the same seed. It is "draw" in ASCII.
 const timelineStream = 0x64726177
 
 // DrawFaults replaces the timeline by a random one: two or three faults of sites, links and processes, which may overlap. They end
--- a/lab/faults/faults.go
+++ b/lab/faults/faults.go
@@ -1,5 +1,5 @@
-// Package faults injects the faults of an experiment's timeline into the stand-ins and the proxies. The caches and proxies that a fault
-// affects are selected by the seed and by the fault's position in the file alone.
+// Package faults injects the faults of an experiment's timeline into the stand-ins and the proxies. A fault affects a random selection of
+// the running caches, or of the proxies, that match it. The selection depends on the seed and on the fault's position in the file.
 package faults
 
 import (
@@ -28,21 +28,22 @@
 	HoldIdleConns(n, size int, duration time.Duration)
 	// Upgrade starts a new process beside the old one, which then ends.
 	Upgrade(n int) error
-	// SetLameduck has a proxy send its clients away, or accept them again.
+	// SetLameduck sets a proxy to lameduck mode, in which it sends its clients away, or ends the mode.
 	SetLameduck(n int, lameduck bool) error
-	// IdleConns returns the number of client connections to a proxy without an open request.
+	// IdleConns returns the number of open client connections to a proxy without an op in progress.
 	IdleConns(n int) int
 	// SetCacheDetached detaches a cache from a proxy by an operator's call, or attaches it again.
 	SetCacheDetached(n int, cache string, number uint32, detach bool) error
 	// Agent returns the discovery agent of a proxy.
 	Agent(n int) *world.Agent
-	// SetSiteDetached detaches a site from a proxy over a duration by an operator's call, or attaches it again.
+	// SetSiteDetached detaches the caches of a site from a proxy by an operator's call, or attaches them again: gradually, spread over a
+	// duration, or at once if it is 0.
 	SetSiteDetached(n int, site string, caches []uint32, detach bool, spread time.Duration) error
 	// ReloadQuotas multiplies the tenants' quotas by a factor in a proxy's settings, and has it reload them.
 	ReloadQuotas(n int, factor float64) error
 	// SetStopped stops a proxy with SIGSTOP, or lets it continue.
 	SetStopped(n int, stopped bool)
-	// Throttle lets a proxy run for a share of the time by SIGSTOP and SIGCONT. Unlike SetStopped it excuses no broken rule.
+	// Throttle lets a proxy run for a share of the time by SIGSTOP and SIGCONT. Unlike with SetStopped, no violation is excused.
 	Throttle(n int, share float64, duration time.Duration)
 }
 
@@ -62,15 +63,16 @@
 	running    sync.WaitGroup
 	stop       <-chan struct{}
 	start      time.Duration // of the load, on the run's clock
-	restarting []sync.Mutex  // by proxy: held while a fault ends and restarts its process
+	restarting []sync.Mutex  // by proxy: held while a fault stops and restarts the proxy's process
 }
 
-// New makes a player of the world's experiment. start is the start of the timeline on the run's clock; closing stop ends all waits.
+// New returns a player for the world's experiment. start is when the load starts on the run's clock; closing stop ends all waits.
 func New(w *world.World, fleet Fleet, start time.Duration, stop <-chan struct{}) *Player {
 	return &Player{world: w, fleet: fleet, start: start, stop: stop, restarting: make([]sync.Mutex, fleet.Count())}
 }
 
-// Run injects all faults and returns when the last one has ended.
+// Run injects all faults, and returns when nothing is left to do for any of them. Faults without a duration, and pauses, may still be in
+// effect then.
 func (p *Player) Run() {
 	for n, f := range p.world.Experiment.Faults {
 		p.running.Add(1)
@@ -91,7 +93,7 @@
 	return p.events, p.errs
 }
 
-// sleep waits for a duration. It returns false when the run is stopped meanwhile.
+// sleep waits for a duration. It returns false if the run is stopped meanwhile.
 func (p *Player) sleep(duration time.Duration) bool {
 	if duration <= 0 {
 		return true
@@ -120,7 +122,8 @@
 	}
 }
 
-// pickCaches selects the running caches that a fault affects: of a zone or a machine kind all, unless it has a count or a share.
+// pickCaches selects the caches that a fault affects among the running caches of its zone and machine kind: as many as its count or share
+// says. A fault with neither affects all if it has a zone or a machine kind, and one cache if it has none. n is its position in the file.
 func (p *Player) pickCaches(n uint64, f experiment.Fault) []*world.Cache {
 	var caches []*world.Cache
 	for _, c := range p.world.Caches() {
@@ -139,7 +142,7 @@
 	return world.Pick(p.world.Experiment.Seed, n, caches, count, share)
 }
 
-// applyForDuration changes the faults of servers, and changes them back after the duration of the fault.
+// applyForDuration changes the injected faults of servers, and changes them back after the duration of f. With duration 0 they stay.
 func (p *Player) applyForDuration(f experiment.Fault, targets []*world.Faults, change func(*world.Faults, bool)) {
 	for _, target := range targets {
 		target.Update(func(faults *world.Faults) { change(faults, true) })
@@ -153,7 +156,8 @@
 	}
 }
 
-// inject injects one fault, and returns when it has ended. n is its position in the file.
+// inject injects one fault, and returns when nothing is left to do for it. A fault without a duration, or a pause, may still be in effect
+// then. n is the position of the fault in the file.
 func (p *Player) inject(n uint64, f experiment.Fault) {
 	p.recordEvent(f.Kind)
 	switch f.Kind {
@@ -243,7 +247,8 @@
 	}
 }
 
-// pickProxies selects the proxies that a fault affects: of a zone all, unless it has a count or a share.
+// pickProxies selects the proxies that a fault affects among those of its zone: as many as its count or share says. A fault with neither
+// affects all proxies of its zone, or one proxy if it has no zone. n is its position in the file.
 func (p *Player) pickProxies(n uint64, f experiment.Fault) []int {
 	var proxies []int
 	for i := range p.fleet.Count() {
@@ -258,7 +263,7 @@
 	return world.Pick(p.world.Experiment.Seed, n, proxies, f.Count, share)
 }
 
-// sizeIf returns the size of a fault that is on, and 0 otherwise.
+// sizeIf returns size if on is set, else 0.
 func sizeIf(on bool, size float64) float64 {
 	if on {
 		return size
@@ -266,7 +271,7 @@
 	return 0
 }
 
-// injectCacheFault injects a fault of caches.
+// injectCacheFault injects a fault of caches. n is its position in the file.
 func (p *Player) injectCacheFault(n uint64, f experiment.Fault) {
 	caches := p.pickCaches(n, f)
 	var targets []*world.Faults
@@ -301,7 +306,7 @@
 				c.Kill()
 			}
 		}
-	case "deploy": // in batches: drain, kill, start a successor at the same address
+	case "deploy": // in batches: drain, kill, start a successor at the same addresses
 		batch := max(int(f.BatchShare*float64(len(p.world.Caches()))+0.5), 1)
 		for len(caches) > 0 {
 			wave := caches[:min(batch, len(caches))]
@@ -345,11 +350,11 @@
 	}
 }
 
-// lameduckTimeout is how long a proxy may take to close its idle connections in lameduck mode.
+// lameduckTimeout is how long after the start of lameduck mode a proxy may still hold idle connections.
 const lameduckTimeout = 4 * time.Second
 
 // lameduckProxies sets proxies to lameduck mode for the duration of the fault. Idle connections that a proxy still holds after
-// lameduckTimeout are an error of the run.
+// lameduckTimeout are an error of the run; a shorter fault does not check them.
 func (p *Player) lameduckProxies(n uint64, f experiment.Fault) {
 	proxies := p.pickProxies(n, f)
 	for _, i := range proxies {
@@ -369,7 +374,7 @@
 	p.recordEvent(f.Kind + " is over")
 }
 
-// detachCaches detaches caches from all proxies for the duration of the fault.
+// detachCaches detaches caches from all proxies, one proxy after another, for the duration of the fault.
 func (p *Player) detachCaches(n uint64, f experiment.Fault) {
 	caches := p.pickCaches(n, f)
 	setDetached := func(detach bool) {
@@ -385,11 +390,12 @@
 	p.recordEvent(f.Kind + " is over")
 }
 
-// wavePause is the time between two batches of restartInWaves.
+// wavePause is the time from the start of one batch of restartInWaves to the start of the next.
 const wavePause = 1500 * time.Millisecond
 
-// restartInWaves restarts all proxies in turn, a batch at a time, for the duration of the fault. Where the downtime is longer than
-// wavePause, the next batch ends while the previous one is still down.
+// restartInWaves restarts all proxies in turn, a batch at a time, for the duration of the fault. If the downtime is longer than
+// wavePause, the processes of the next batch are stopped while those of the previous one are still down. Proxies whose previous restart
+// is not complete are skipped.
 func (p *Player) restartInWaves(f experiment.Fault) {
 	n := p.fleet.Count()
 	batch := max(int(f.BatchShare*float64(n)+0.5), 1)
@@ -399,10 +405,10 @@
 		for range batch {
 			i, mode := next%n, f.Mode
 			if mode == "mixed" {
-				mode = modes[(next+next/n)%len(modes)] // each proxy is restarted in each mode in turn
+				mode = modes[(next+next/n)%len(modes)] // a proxy's mode changes with each round, unless there are 2, 5, 8, ... proxies
 			}
 			next++
-			if !p.restarting[i].TryLock() { // its previous restart is not complete
+			if !p.restarting[i].TryLock() { // its previous restart, or one by another fault, is not complete
 				continue
 			}
 			wait.Add(1)
@@ -445,7 +451,8 @@
 	p.recordEvent(f.Kind + " is over")
 }
 
-// restartProxies ends proxies and starts them again, one batch after another.
+// restartProxies stops proxies and starts them again after the downtime of the fault, one batch after another; an upgrade replaces their
+// processes without a downtime. n is the position of the fault in the file.
 func (p *Player) restartProxies(n uint64, f experiment.Fault) {
 	proxies := p.pickProxies(n, f)
 	batch := len(proxies)
@@ -455,8 +462,8 @@
 	for len(proxies) > 0 {
 		wave := proxies[:min(batch, len(proxies))]
 		proxies = proxies[len(wave):]
-		// Skip proxies that another fault is restarting: the SIGKILL of one fault would be attributed to the other, and the process
-		// started twice.
+		// Skip proxies that another fault is restarting: the ledger could record a wrong cause of the exit, such as a termination for
+		// a SIGKILL, and both faults could start a process.
 		wave = slices.DeleteFunc(slices.Clone(wave), func(i int) bool { return !p.restarting[i].TryLock() })
 		var ended sync.WaitGroup
 		for _, i := range wave {
--- a/lab/faults/sites.go
+++ b/lab/faults/sites.go
@@ -10,9 +10,9 @@
 	"minttray/lab/world"
 )
 
-// loseSite ends all processes of a site at once: its caches, its proxies and, where the fault says so, the links of the origin. Caches
-// and proxies return in the order that the fault demands, the second group after its downtime. The site's replica of the list of caches
-// may lag behind until both are back.
+// loseSite kills all caches and proxies of a site at once and, if LosesOrigin is set, cuts all links of the origin for the duration of
+// the fault. Then caches and proxies return in the order of the fault's mode, the second group after its downtime, or at once in mode
+// "together". Until both are back, changes of the list reach the agents of the site's proxies later by up to the fault's size in seconds.
 func (p *Player) loseSite(f experiment.Fault) {
 	caches := p.pickCaches(0, experiment.Fault{Zone: f.Zone})
 	proxies := p.pickProxies(0, experiment.Fault{Zone: f.Zone})
@@ -40,7 +40,7 @@
 	ended.Wait()
 	p.sleep(f.Duration.Std())
 	restoreLinks()
-	if f.Share > 0 { // only this share of the caches returns
+	if f.Share > 0 { // share of the caches that return
 		caches = world.Pick(p.world.Experiment.Seed, 0, caches, 0, f.Share)
 	}
 	for _, i := range proxies {
@@ -83,7 +83,7 @@
 	p.recordEvent(f.Kind + " is over")
 }
 
-// addLinkRule adds a link rule, and records a link fault until the rule is removed.
+// addLinkRule adds a link rule. The ledger records the start of a link fault now and its end when remove is called.
 func (p *Player) addLinkRule(r ways.Rule) (remove func()) {
 	record := func(on uint32) {
 		p.world.Ledger.Append(ledger.Record{Kind: ledger.LinkFault, At: p.world.Now(), C: on})
@@ -96,7 +96,8 @@
 	}
 }
 
-// breakLinks injects a fault into the links between a zone and another, or all others, in the direction that the fault demands.
+// breakLinks injects a fault into the links between a zone and another, or all others. The mode of the fault is the direction as seen from
+// its zone: in, out, or both if it is empty.
 func (p *Player) breakLinks(f experiment.Fault) {
 	exp := p.world.Experiment
 	r := ways.Rule{
@@ -126,7 +127,7 @@
 	}
 }
 
-// bytesPerKB converts the size of a bandwidth limit, which is in KB per second.
+// bytesPerKB converts the size of a bandwidth limit from KB to bytes per second.
 const bytesPerKB = 1024
 
 // detachSite detaches a site from all proxies for the duration of the fault, gradually over its downtime, and attaches it again in the
--- a/lab/load/arrivals.go
+++ b/lab/load/arrivals.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	// arrivalStream selects the stream of random numbers for arrivals among those of the experiment's seed.
+	// arrivalStream selects the stream of random numbers for arrivals among those of the experiment's seed. It is "mint" in ASCII.
 	arrivalStream = 0x6d696e74
 	// zipfOffset is the offset v of the Zipf distribution of keys: P(rank) is proportional to (zipfOffset+rank)^-s.
 	zipfOffset = 8
--- a/lab/load/balancer.go
+++ b/lab/load/balancer.go
@@ -24,21 +24,22 @@
 	maxIdleConns = 256
 )
 
-// Proxy is a proxy instance as the balancer sees it. One instance may be served by several processes in turn.
+// Proxy is a proxy instance as the balancer sees it. It may run several processes in turn.
 type Proxy struct {
 	Addr     string
 	Zone     int
 	Endpoint ways.Endpoint
-	// Incarnation is the number of the process that serves now, unique over all proxies; 0 if none does.
+	// Incarnation is the number of the process that was started last, unique over all proxies; 0 before the first start. It
+	// is set just before the start, stays when the process ends, and is shared by the two processes of an upgrade.
 	Incarnation atomic.Uint32
 
-	mu             sync.Mutex
-	diedAt         time.Time // zero if it is not known to have died
-	pingFailedAt   time.Time // first negative answer to PING since the last positive one; zero if there is none
-	terminatedAt   time.Time // when its process was sent SIGTERM; zero if it was not
-	idle           []*conn
-	processStarted time.Time // when its process began to serve
-	restarted      bool      // the process is not its first
+	mu           sync.Mutex
+	diedAt       time.Time // zero if it is not known to have died
+	pingFailedAt time.Time // first negative answer to PING since the last positive one; zero if there is none
+	terminatedAt time.Time // when its process was first sent SIGTERM; zero if it was not
+	idle         []*conn
+	servingSince time.Time // when MarkUp was last called; zero before
+	restarted    bool      // MarkUp was called more than once
 }
 
 // Balancer distributes clients' connections over proxies.
@@ -46,7 +47,7 @@
 	Proxies []*Proxy
 	// ConnsOpened counts opened connections.
 	ConnsOpened atomic.Int64
-	// ConnsRefused counts connections that could not be opened: the proxy was terminating, refused, or did not answer.
+	// ConnsRefused counts connections that were not opened: the proxy was terminating, refused, or did not answer in time.
 	ConnsRefused atomic.Int64
 
 	// Links holds the faults of links between clients and proxies; nil if there are none.
@@ -72,8 +73,8 @@
 func (p *Proxy) MarkUp() {
 	p.mu.Lock()
 	p.diedAt, p.terminatedAt = time.Time{}, time.Time{}
-	p.restarted = !p.processStarted.IsZero()
-	p.processStarted = time.Now()
+	p.restarted = !p.servingSince.IsZero()
+	p.servingSince = time.Now()
 	p.mu.Unlock()
 }
 
@@ -86,21 +87,22 @@
 	}
 }
 
-// refusesConns reports whether the proxy gets no new connections. The caller holds the mutex.
-func (p *Proxy) refusesConns() bool {
+// excludedFromNewConns reports whether the balancer opens no new connections to the proxy, because its process was sent SIGTERM
+// more than connectGrace ago. The caller holds the mutex.
+func (p *Proxy) excludedFromNewConns() bool {
 	return !p.terminatedAt.IsZero() && time.Since(p.terminatedAt) > connectGrace
 }
 
-// hasIdleConn reports whether an idle connection is open. The caller holds the mutex.
+// hasIdleConn reports whether an idle connection to the proxy is open. The caller holds the mutex.
 func (p *Proxy) hasIdleConn() bool {
 	return slices.ContainsFunc(p.idle, func(c *conn) bool { return !c.isClosed() })
 }
 
-// ProcessAge returns how long the proxy's process has served, and whether the proxy had another process before.
+// ProcessAge returns the time since the last MarkUp, and whether MarkUp was called before that.
 func (p *Proxy) ProcessAge() (age time.Duration, restarted bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return time.Since(p.processStarted), p.restarted
+	return time.Since(p.servingSince), p.restarted
 }
 
 // RecordPing records whether the proxy's answer to PING was positive.
@@ -126,19 +128,21 @@
 	return n
 }
 
-// pick chooses a proxy in the client's zone. Proxies that are known to be dead, or that refuse clients, are chosen only if
-// there is no other.
+// pick chooses a proxy by the random number choice: one in the client's zone if any is available there, else an available one
+// in any zone, else any proxy. A proxy is not available if it is known to be dead, if it answers PING negatively, or if it gets
+// no new connections and has no idle one. A hot-proxy fault that is active at the time at receives its share of the choices
+// whatever the state of its proxy.
 func (b *Balancer) pick(zone int, choice uint64, at time.Duration) *Proxy {
 	for _, f := range b.exp.Faults {
 		if f.Kind == "hot-proxy" && activeAt(f, at) && float64(Mix64(choice)>>11)/mantissaRange < f.Size {
-			return b.Proxies[min(f.Count, len(b.Proxies)-1)]
+			return b.Proxies[min(f.Count, len(b.Proxies)-1)] // Count of a hot-proxy fault is the index of the proxy
 		}
 	}
 	var sameZone, available []*Proxy
 	for _, p := range b.Proxies {
 		p.mu.Lock()
 		excluded := !p.diedAt.IsZero() && time.Since(p.diedAt) > b.exp.Balancer.DetectionDelay.Std() ||
-			!p.pingFailedAt.IsZero() && time.Since(p.pingFailedAt) > pingFailureDelay || p.refusesConns() && !p.hasIdleConn()
+			!p.pingFailedAt.IsZero() && time.Since(p.pingFailedAt) > pingFailureDelay || p.excludedFromNewConns() && !p.hasIdleConn()
 		p.mu.Unlock()
 		if excluded {
 			continue
@@ -157,9 +161,9 @@
 	return candidates[choice%uint64(len(candidates))]
 }
 
-var errTerminating = errors.New("the proxy process is terminating and accepts no connections")
+var errTerminating = errors.New("no new connections are opened to a terminating proxy")
 
-// clientEndpoint is the clients' end of links to and from a zone.
+// clientEndpoint returns the endpoint of the clients in a zone.
 func clientEndpoint(zone int) ways.Endpoint { return ways.Endpoint{Site: zone, Name: "clients"} }
 
 // linkFaulty reports whether a link between a zone's clients and a proxy has a fault, so that an answer given in time may
@@ -168,8 +172,9 @@
 	return b.Links != nil && b.Links.Faulty(clientEndpoint(zone), p.Endpoint)
 }
 
-// dial returns an idle connection from a zone to a proxy, or opens one.
-func (b *Balancer) dial(p *Proxy, zone int, g *Generator) (*conn, error) {
+// acquire returns an idle connection from a zone to a proxy, or opens one. Where links can have faults, which depend on the
+// zone, an idle connection is used only by clients of the zone that opened it.
+func (b *Balancer) acquire(p *Proxy, zone int, g *Generator) (*conn, error) {
 	p.mu.Lock()
 	for n := len(p.idle) - 1; n >= 0; n-- {
 		c := p.idle[n]
@@ -182,13 +187,13 @@
 			return c, nil
 		}
 	}
-	refuses := p.refusesConns()
+	excluded := p.excludedFromNewConns()
 	p.mu.Unlock()
-	if refuses {
+	if excluded {
 		b.ConnsRefused.Add(1)
 		return nil, errTerminating
 	}
-	processBefore := p.Incarnation.Load()
+	incarnationBefore := p.Incarnation.Load()
 	var netConn net.Conn
 	var err error
 	if b.Links != nil {
@@ -201,7 +206,8 @@
 		return nil, err
 	}
 	b.ConnsOpened.Add(1)
-	c := &conn{netConn: netConn, proxy: p, zone: zone, process: max(processBefore, p.Incarnation.Load()), generator: g}
+	// If the proxy was restarted during the dial, the connection is attributed to the new process, whose number is higher.
+	c := &conn{netConn: netConn, proxy: p, zone: zone, incarnation: max(incarnationBefore, p.Incarnation.Load()), generator: g}
 	go c.read()
 	return c, nil
 }
--- a/lab/load/conn.go
+++ b/lab/load/conn.go
@@ -19,21 +19,21 @@
 // conn is a client's connection to a proxy, which carries one op at a time. Its reader also runs between ops, so that it
 // sees a second answer to the last op.
 type conn struct {
-	netConn   net.Conn
-	proxy     *Proxy
-	zone      int    // of its client
-	process   uint32 // the proxy process, as the ledger numbers it
-	generator *Generator
+	netConn     net.Conn
+	proxy       *Proxy
+	zone        int    // index of its client's zone
+	incarnation uint32 // number of the proxy's process in the ledger
+	generator   *Generator
 
 	mu          sync.Mutex
-	op          uint64           // the last op sent
+	op          uint64           // ID of the last try sent
 	valuePrefix string           // the prefix of the value that op has to be answered with
 	pending     chan<- tryResult // nil if no op waits for an answer
 	closed      bool
-	opsSent     int
+	opsSent     int // begin was called so often
 }
 
-// begin registers an op that is about to be sent, and returns the channel that its answer comes on.
+// begin registers an op that is about to be sent, and returns the channel on which its result arrives.
 func (c *conn) begin(op uint64, valuePrefix string) <-chan tryResult {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -132,9 +132,9 @@
 			return ledger.AnswerTruncated, 0, errTruncated
 		}
 		c.mu.Lock()
-		name := c.valuePrefix
+		valuePrefix := c.valuePrefix
 		c.mu.Unlock()
-		if !strings.HasPrefix(string(value), name+" ") {
+		if !strings.HasPrefix(string(value), valuePrefix+" ") {
 			return ledger.AnswerWrongValue, 0, nil
 		}
 		return ledger.AnswerAcked, 0, nil
--- a/lab/load/generator.go
+++ b/lab/load/generator.go
@@ -148,7 +148,7 @@
 // leaves after that time.
 func (g *Generator) runTry(arrival Arrival, category experiment.Category, try int, wait, leaveAfter time.Duration) tryResult {
 	proxy := g.balancer.pick(arrival.Zone, Mix64(arrival.ProxyChoice+uint64(try)), arrival.Due)
-	c, err := g.balancer.dial(proxy, arrival.Zone, g)
+	c, err := g.balancer.acquire(proxy, arrival.Zone, g)
 	if err != nil {
 		return tryResult{result: resultUnreached}
 	}
@@ -175,7 +175,7 @@
 		return tryResult{result: resultUnreached}
 	}
 	processAge, restarted := proxy.ProcessAge()
-	g.ledger.Append(ledger.Record{Kind: ledger.OpSent, At: sentAt, Op: id, A: c.process, B: uint32(arrival.Category), C: uint32(wait / time.Microsecond)})
+	g.ledger.Append(ledger.Record{Kind: ledger.OpSent, At: sentAt, Op: id, A: c.incarnation, B: uint32(arrival.Category), C: uint32(wait / time.Microsecond)})
 	timeout := wait + g.exp.Rules.Slack.Std()
 	if leaveAfter > 0 {
 		timeout = leaveAfter
--- a/lab/run/fleet.go
+++ b/lab/run/fleet.go
@@ -24,17 +24,17 @@
 )
 
 const (
-	startTimeout    = 10 * time.Second       // for a process to serve, or to load new settings
-	stopTimeout     = 8 * time.Second        // from SIGTERM to the end of a process that an upgrade replaces
-	lameduckTimeout = 2 * time.Second        // for PING to show a change of lameduck mode
-	callTimeout     = time.Second            // for a call of the control port, and for PING
-	pingInterval    = 100 * time.Millisecond // between two health checks of the balancer
-	startPoll       = 10 * time.Millisecond  // between two checks whether a process serves
-	changePoll      = 20 * time.Millisecond  // between two checks whether a process has changed its mode or settings
-	throttlePeriod  = 100 * time.Millisecond // of stopping and continuing a throttled process, as a CPU quota of the kernel does
-	signalInterval  = 150 * time.Millisecond // between the signals of a series
-	idleConnsPoll   = 100 * time.Millisecond // between two rounds of opening idle connections; also their connect time-out
-	logTailLines    = 8                      // of the log of a crashed process, for error messages
+	startTimeout        = 10 * time.Second       // for a process to serve, or to load new settings
+	stopTimeout         = 8 * time.Second        // from SIGTERM to the end of a process that an upgrade replaces
+	lameduckPingTimeout = 2 * time.Second        // for the answer to PING to show a change of lameduck mode
+	callTimeout         = time.Second            // for a call of the control port, and for PING
+	pingInterval        = 100 * time.Millisecond // between two health checks of the balancer
+	startPoll           = 10 * time.Millisecond  // between two checks whether a process serves
+	changePoll          = 20 * time.Millisecond  // between two checks whether a process has changed its mode or settings
+	throttlePeriod      = 100 * time.Millisecond // of stopping and continuing a throttled process, as a CPU quota of the kernel does
+	signalInterval      = 150 * time.Millisecond // between the signals of a series; SIGHUPs of series hups follow each other faster
+	idleConnsPoll       = 100 * time.Millisecond // between two rounds of opening idle connections; also their connect time-out
+	logTailLines        = 8                      // of the log of a crashed process, for error messages
 )
 
 // fleet runs the proxies' processes. It implements faults.Fleet.
@@ -49,12 +49,12 @@
 	done      chan struct{} // closed by stopAll
 	closeDone sync.Once
 
-	mu              sync.Mutex
-	agents          []*world.Agent
-	processes       []*process     // the last one of each proxy
-	lastIncarnation uint32         // last number given; incarnations count from 1
-	siteDetachedAt  map[int]uint32 // by proxy: incarnation at which a site was detached; holds one site-hand fault at a time, not guarded by mu
-	crashes         []string       // descriptions of processes that ended by themselves
+	mu                    sync.Mutex
+	agents                []*world.Agent
+	processes             []*process     // the last one of each proxy
+	lastIncarnation       uint32         // last incarnation given; they count from 1
+	siteDetachIncarnation map[int]uint32 // by proxy: incarnation that was last called to detach or attach a site; not guarded by mu, as one site-hand fault at a time may be active
+	crashes               []string       // descriptions of processes that ended without a signal of the laboratory
 }
 
 // process is one process of a proxy.
@@ -62,24 +62,24 @@
 	cmd          *exec.Cmd
 	incarnation  uint32        // shared by the old and the new process of an upgrade
 	exited       chan struct{} // closed at its end
-	stoppedByLab bool          // the laboratory sent it SIGTERM or SIGKILL
+	stoppedByLab bool          // the laboratory sent it SIGTERM or SIGKILL, or replaced it
 	terminated   bool          // it was sent SIGTERM and given time to end
 	logPath      string
-	controlAddr  string // of its control port; empty: none
+	controlAddr  string // address of its control port; empty: none
 	replaced     bool   // by the new process of an upgrade
 }
 
-// newFleet starts all proxies and waits until they serve. After an error the fleet must still be stopped.
+// newFleet starts all proxies and waits until they serve. The fleet must be stopped even after an error.
 func newFleet(exp *experiment.File, w *world.World, dir string, command, env []string) (*fleet, error) {
 	f := &fleet{
-		experiment:     exp,
-		world:          w,
-		dir:            dir,
-		command:        command,
-		env:            env,
-		processes:      make([]*process, exp.Proxies.Count),
-		siteDetachedAt: map[int]uint32{},
-		done:           make(chan struct{}),
+		experiment:            exp,
+		world:                 w,
+		dir:                   dir,
+		command:               command,
+		env:                   env,
+		processes:             make([]*process, exp.Proxies.Count),
+		siteDetachIncarnation: map[int]uint32{},
+		done:                  make(chan struct{}),
 	}
 	for n := range exp.Proxies.Count {
 		agent, err := w.Registry.NewAgent(n)
@@ -193,8 +193,9 @@
 	return nil
 }
 
-// SetCacheDetached detaches a cache from a proxy by a call of its control port, or attaches it again. From the successful answer on the
-// proxy may send the cache no new push.
+// SetCacheDetached detaches a cache from a proxy by a call of its control port, or attaches it again. Once the proxy has confirmed the
+// detachment it must not start a push to the cache. So a detachment is recorded at the time of the answer, and an attachment at the time of
+// the call: the record covers no time at which a push is allowed.
 func (f *fleet) SetCacheDetached(n int, cache string, number uint32, detach bool) error {
 	f.mu.Lock()
 	p := f.processes[n]
@@ -215,7 +216,7 @@
 	return nil
 }
 
-// SetSiteDetached detaches a whole site from a proxy over a duration by a call of its control port, or attaches it again.
+// SetSiteDetached detaches the caches of a site from a proxy by a call of its control port, gradually over a duration, or attaches them again.
 func (f *fleet) SetSiteDetached(n int, site string, caches []uint32, detach bool, spread time.Duration) error {
 	f.mu.Lock()
 	p := f.processes[n]
@@ -234,10 +235,10 @@
 		body += " " + spread.String()
 	}
 	at := f.world.Now()
-	if !detach && p.incarnation != f.siteDetachedAt[n] { // a new process without stored state, in which the site was never detached
+	if !detach && p.incarnation != f.siteDetachIncarnation[n] { // a new process without stored state, in which the site was never detached
 		return nil
 	}
-	f.siteDetachedAt[n] = p.incarnation
+	f.siteDetachIncarnation[n] = p.incarnation
 	if err := f.callControl(p, http.MethodPost, path, body); err != nil {
 		return fmt.Errorf("proxy %d, %s %s: %w", n, path, body, err)
 	}
@@ -250,8 +251,8 @@
 		record()
 		return nil
 	}
-	// All caches of the site are detached only after the duration. Recording them earlier would make the judge close ops that are still
-	// open.
+	// All caches of the site are detached only after the duration, so they are recorded then. A record that is made earlier, with that
+	// later time, would make the judge treat ops that are still open as complete.
 	time.AfterFunc(spread, func() {
 		at = f.world.Now()
 		record()
@@ -260,7 +261,7 @@
 }
 
 // ReloadQuotas rewrites a proxy's settings with the tenants' quotas multiplied by a factor, and has it reload them by SIGHUP. It returns
-// an error unless the proxy's counter of reloads confirms it.
+// an error unless the proxy's counter of reloads changes within startTimeout. If the counter cannot be read it counts as 0.
 func (f *fleet) ReloadQuotas(n int, factor float64) error {
 	f.mu.Lock()
 	p := f.processes[n]
@@ -283,7 +284,7 @@
 	return nil
 }
 
-// SetStopped stops a proxy's process by SIGSTOP, or lets it continue, and records it: ops of a stopped process are excused.
+// SetStopped stops a proxy's process by SIGSTOP, or lets it continue, and records it: the judge excuses ops of a stopped process.
 func (f *fleet) SetStopped(n int, stopped bool) {
 	sig, state := syscall.SIGCONT, uint32(0)
 	if stopped {
@@ -299,7 +300,7 @@
 	}
 }
 
-// Throttle lets a proxy's process run for a share of the time. Unlike SetStopped it is not recorded, and excuses no broken rule.
+// Throttle lets a proxy's process run for a share of the time. Unlike SetStopped it is not recorded, so no violation is excused.
 func (f *fleet) Throttle(n int, share float64, duration time.Duration) {
 	runTime := time.Duration(share * float64(throttlePeriod))
 	for end := time.Now().Add(duration); time.Now().Before(end); {
@@ -323,15 +324,15 @@
 	if err := f.callControl(p, http.MethodPost, path, ""); err != nil {
 		return fmt.Errorf("proxy %d, %s: %w", n, path, err)
 	}
-	for deadline := time.Now().Add(lameduckTimeout); pingOK(f.proxies[n].Addr) == lameduck; time.Sleep(changePoll) {
+	for deadline := time.Now().Add(lameduckPingTimeout); pingOK(f.proxies[n].Addr) == lameduck; time.Sleep(changePoll) {
 		if time.Now().After(deadline) {
-			return fmt.Errorf("proxy %d, %s: PING does not show the change within %v", n, path, lameduckTimeout)
+			return fmt.Errorf("proxy %d, %s: PING does not show the change within %v", n, path, lameduckPingTimeout)
 		}
 	}
 	return nil
 }
 
-// IdleConns returns the number of client connections to a proxy without an open request.
+// IdleConns returns the number of open client connections to a proxy without an op in progress.
 func (f *fleet) IdleConns(n int) int { return f.proxies[n].IdleConns() }
 
 // pollPings runs the balancer's health checks: it sends PING to each proxy that has been started.
@@ -374,7 +375,7 @@
 	return nil
 }
 
-// counters sums the metrics of all processes by name, without the class label; nil where the experiment needs no control ports.
+// counters sums the metrics of the last process of each proxy by name, over all classes; nil if the experiment needs no control ports.
 func (f *fleet) counters() map[string]int64 {
 	if !f.experiment.NeedsControl() {
 		return nil
@@ -391,7 +392,8 @@
 	return sums
 }
 
-// readCounters returns the metrics of a process by name, summed over the class label. If it does not answer, "unanswered" is 1.
+// readCounters returns the metrics of a process by name, summed over all classes. If the process does not answer, the only entry is
+// "unanswered" with value 1.
 func readCounters(p *process) map[string]int64 {
 	sums := map[string]int64{}
 	client := http.Client{Timeout: callTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
@@ -411,7 +413,7 @@
 	return sums
 }
 
-// launch starts a process of a proxy. Incarnation 0 stands for a new one.
+// launch starts a process of a proxy, without waiting until it serves. Incarnation 0 requests a new one.
 func (f *fleet) launch(n int, incarnation uint32) (*process, error) {
 	control := ""
 	if f.experiment.NeedsControl() {
@@ -453,7 +455,7 @@
 	p.cmd.Stderr = logFile
 	p.cmd.Stdout = logFile
 	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // it must not outlive the laboratory
-	// Set the incarnation first: the process may accept connections before Start returns.
+	// Set the incarnation first: the process may accept connections before cmd.Start returns.
 	f.agents[n].SetIncarnation(p.incarnation)
 	f.proxies[n].Incarnation.Store(p.incarnation)
 	if err := p.cmd.Start(); err != nil {
@@ -547,14 +549,16 @@
 	}
 }
 
-// Terminate ends a proxy with SIGTERM, and kills it as early as the platform may; ops that it still holds then are lost.
+// Terminate ends a proxy with SIGTERM. If it still runs after experiment.File.KillAfter, the shortest time that a process must be given, it
+// is killed; ops that it still holds then are lost.
 func (f *fleet) Terminate(n int) {
 	if p := f.sendSignal(n, syscall.SIGTERM); p != nil {
 		f.awaitTermination(n, p)
 	}
 }
 
-// awaitTermination waits for the end of a process that has just been sent SIGTERM, and kills it as early as the platform may.
+// awaitTermination waits for the end of a process that has just been sent SIGTERM, and kills it if it still runs after
+// experiment.File.KillAfter.
 func (f *fleet) awaitTermination(n int, p *process) {
 	f.mu.Lock()
 	p.terminated = true
@@ -566,7 +570,11 @@
 	}
 }
 
-// SendSignals sends a proxy a series of signals, which ends it.
+// SendSignals sends a proxy a series of signals of experiment.SignalSeries, which ends it:
+//   - hups: five times SIGHUP, a fifth of signalInterval apart, then SIGTERM
+//   - kill-after-term: SIGTERM, and SIGKILL after signalInterval
+//   - term-twice: SIGTERM, and SIGTERM twice more, signalInterval apart
+//   - hup-in-drain: SIGTERM, then SIGHUP twice, signalInterval apart
 func (f *fleet) SendSignals(n int, series string) {
 	switch series {
 	case "hups":
@@ -596,7 +604,7 @@
 	f.awaitTermination(n, p)
 }
 
-// HoldIdleConns holds a number of idle connections to a proxy for a duration, and replaces those that the proxy closes.
+// HoldIdleConns holds size idle connections to a proxy for a duration, and replaces those that the proxy closes.
 func (f *fleet) HoldIdleConns(n, size int, duration time.Duration) {
 	var mu sync.Mutex
 	open := map[net.Conn]bool{}
@@ -633,7 +641,7 @@
 	}
 }
 
-// stopAll ends all processes that still run.
+// stopAll ends all processes that still run, and the polling of PING.
 func (f *fleet) stopAll() {
 	f.closeDone.Do(func() { close(f.done) })
 	var wait sync.WaitGroup
@@ -661,7 +669,7 @@
 	return usage
 }
 
-// crashReports describes the processes that ended by themselves.
+// crashReports describes the processes that ended without a signal of the laboratory.
 func (f *fleet) crashReports() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/lab/run/plan.go
+++ b/lab/run/plan.go
@@ -15,20 +15,20 @@
 )
 
 const (
-	zipfOffset    = 8               // offset of the Zipf distribution from which the load generator draws keys
-	planWindow    = 2 * time.Second // compared after a loss has been detected
-	settledWindow = 3 * time.Second // compared before the return of a site, and after it
+	zipfOffset      = 8               // added to each rank in the Zipf distribution of keys; must equal that of the load generator
+	detectionWindow = 2 * time.Second // length of the window after the detection of a loss in which plan and run are compared
+	returnWindow    = 3 * time.Second // length of the windows before and after the return of a site
 )
 
-// PlanInput writes an experiment's deployment as an input file of minttray plan, so that a plan can be compared with a run of the same
-// experiment. The hit share follows from the popularity of the keys and the caches' memory.
+// PlanInput returns an experiment's deployment as the text of an input file of minttray plan, so that a plan can be compared with a run of
+// the same experiment. The hit share follows from the popularity of the keys and the caches' memory.
 func PlanInput(exp *experiment.File) string {
 	var text strings.Builder
-	size := 0
+	maxValueSize := 0 // bytes; that of the largest category, so keysPerCache is a lower bound
 	for _, c := range exp.Categories {
-		size = max(size, c.Size)
+		maxValueSize = max(maxValueSize, c.Size)
 	}
-	keysPerCache := float64(int(exp.Caches.MemoryMB * (1 << 20) / float64(size)))
+	keysPerCache := float64(int(exp.Caches.MemoryMB * (1 << 20) / float64(maxValueSize)))
 	deployment := site.Deployment{
 		KeyCount:     float64(exp.Keys.Count),
 		ZipfExponent: exp.Keys.ZipfExponent,
@@ -42,6 +42,7 @@
 	}
 	fmt.Fprintf(&text, "# %s, as input of minttray plan\n[keys]\ncount = %d\nzipf = %v\nflat = %d\nhits = %.4f\n\n",
 		exp.Name, exp.Keys.Count, exp.Keys.ZipfExponent, zipfOffset, hitShare)
+	// miss_work is the work of a lookup that misses as a share of a hit's; a cache in mode "aside" has lookupWorkDivisor 8 in lab/world.
 	fmt.Fprintf(&text, "[origin]\nsite = %q\nfetches = %.1f\nmiss_work = 0.125\n\n",
 		exp.Zones.Names[0], float64(exp.Origin.Cores)/exp.Origin.Work.Std().Seconds())
 	fmt.Fprintf(&text, "[cold]\nfrom = %v\nwarm_up = %q\nfall_multiple = %v\ntip_after = %q\n\n",
@@ -66,7 +67,7 @@
 
 // ComparePlan prints a table of plans, as minttray plan --json writes them, and the measurements of a run of the same experiment. For
 // each loss or cut of a site it compares three phases: the first seconds after the balancer has detected it, the last seconds before the
-// return, and the first seconds after it.
+// site returns, and the first seconds after that. Served values are shares of the requested benefit.
 func ComparePlan(out io.Writer, exp *experiment.File, plansJSON io.Reader, result *report.Result) error {
 	var plans []site.Plan
 	if err := json.NewDecoder(plansJSON).Decode(&plans); err != nil {
@@ -85,23 +86,25 @@
 		detectedAt := f.Start.Std() + exp.Balancer.DetectionDelay.Std()
 		returnAt := f.Start.Std() + f.Duration.Std()
 		windows := [][2]time.Duration{
-			{detectedAt, detectedAt + planWindow},
-			{returnAt - settledWindow, returnAt},
-			{returnAt, returnAt + settledWindow},
+			{detectedAt, detectedAt + detectionWindow},
+			{returnAt - returnWindow, returnAt},
+			{returnAt, returnAt + returnWindow},
 		}
 		for phase, window := range windows {
-			if phase == 1 && window[0] < detectedAt+planWindow { // the loss is too short for a settled phase
+			if phase == 1 && window[0] < detectedAt+detectionWindow { // the loss is too short for a settled phase
 				continue
 			}
-			requested, inTime, fetches, seconds := 0.0, 0.0, 0.0, 0.0
+			benefitRequested, benefitInTime, fetches, seconds := 0.0, 0.0, 0.0, 0.0
 			for s := int(window[0] / time.Second); s < int(window[1]/time.Second) && s < len(result.Stats.Seconds); s++ {
 				second := result.Stats.Seconds[s]
-				requested += second.BenefitRequested
-				inTime += second.BenefitInTime
+				benefitRequested += second.BenefitRequested
+				benefitInTime += second.BenefitInTime
 				fetches += float64(second.Fetches)
 				seconds++
 			}
-			// A cut affects the clients of its site alone; for all others it equals the loss of that site.
+			// The plan of a cut covers the clients of the cut site, which send 1/sites of the load. To all other clients the site
+			// is lost. Clients of the cut site cause no more fetches than the
+			// origin has capacity for, which is 0 if the cut separates the site from it.
 			plannedPhase := plans[i].Phases[phase]
 			served, fetchesPlanned := plannedPhase.Served, plannedPhase.Asked.Fetches
 			if cut {
@@ -113,7 +116,7 @@
 				fetchesPlanned = min(plannedPhase.Asked.Fetches, plannedPhase.Has.Fetches) + plans[loss].Phases[phase].Asked.Fetches*(1-1/sites)
 			}
 			fmt.Fprintf(table, "%s %s\t%s\t%.3f\t%.3f\t%.0f\t%.0f\n",
-				f.Kind, f.Zone, plannedPhase.Name, served, inTime/max(requested, 1), fetchesPlanned, fetches/max(seconds, 1))
+				f.Kind, f.Zone, plannedPhase.Name, served, benefitInTime/max(benefitRequested, 1), fetchesPlanned, fetches/max(seconds, 1))
 		}
 	}
 	return table.Flush()
--- a/lab/run/run.go
+++ b/lab/run/run.go
@@ -28,13 +28,13 @@
 }
 
 const (
-	maxSendDelay     = 5 * time.Millisecond   // of the laboratory itself, for an op or for the work of a stand-in
-	minPunctualShare = 0.95                   // share of ops and of work within maxSendDelay in a valid run
-	settleTime       = 300 * time.Millisecond // from the start of the proxies to the first op
+	maxSendDelay     = 5 * time.Millisecond   // longest delay by the laboratory itself, of an op or of the work of a stand-in, that counts as punctual
+	minPunctualShare = 0.95                   // least share of ops, and of work, that is punctual in a valid run
+	settleTime       = 300 * time.Millisecond // from when all proxies serve to the start of the load
 )
 
-// Execute runs an experiment and writes its results. An error means that there is nothing to judge. A result that proves nothing has
-// its reasons in InvalidReasons.
+// Execute runs an experiment and writes its results. An error means that there is nothing to judge. If a run is no valid evidence, the
+// reasons are in the result's InvalidReasons.
 func Execute(exp *experiment.File, options Options) (*report.Result, error) {
 	if err := os.MkdirAll(options.Dir, 0o755); err != nil {
 		return nil, err
@@ -116,7 +116,7 @@
 		ListBytes:          w.Registry.BytesSent.Load(),
 	}
 	if err != nil {
-		result.InvalidReasons = append(result.InvalidReasons, "the ledger's disk: "+err.Error())
+		result.InvalidReasons = append(result.InvalidReasons, "the ledger could not be written: "+err.Error())
 	}
 	if interrupted {
 		result.InvalidReasons = append(result.InvalidReasons, "interrupted")
@@ -132,7 +132,7 @@
 	result.Crashes = proxyFleet.crashReports()
 	if result.Stats.SentWithin5ms < minPunctualShare {
 		result.InvalidReasons = append(result.InvalidReasons, fmt.Sprintf(
-			"the lab ran late: %.1f%% of the ops were sent within %v of their time, %.0f%% are wanted",
+			"the lab ran late: %.1f%% of the ops were sent within %v of their time, %.0f%% are required",
 			100*result.Stats.SentWithin5ms, maxSendDelay, 100*minPunctualShare))
 	}
 	if result.StandInLateShare = w.LateWorkShare(); result.StandInLateShare > 1-minPunctualShare {
@@ -140,7 +140,7 @@
 			"stand-ins stalled: %.1f%% of their work ended over %v late", 100*result.StandInLateShare, maxSendDelay))
 	}
 	if result.Stats.UnsentOps > 0 {
-		result.InvalidReasons = append(result.InvalidReasons, fmt.Sprintf("%d ops could not be sent: too many were out", result.Stats.UnsentOps))
+		result.InvalidReasons = append(result.InvalidReasons, fmt.Sprintf("%d ops were not sent: too many ops were in progress", result.Stats.UnsentOps))
 	}
 	if result.Verdict, err = Judge(path, exp, w.Zones()); err != nil {
 		return result, err
@@ -204,8 +204,8 @@
 	}
 }
 
-// sampleEverySecond adds samples of the stand-ins and the proxies to the meter until loadDone is closed, and returns the peak usage of a
-// proxy and the CPU seconds of all.
+// sampleEverySecond adds samples of the stand-ins and the proxies to the meter until loadDone is closed. It returns the peak usage of a single
+// proxy, with the sum of all proxies' CPU seconds as CPU.
 func sampleEverySecond(w *world.World, proxyFleet *fleet, balancer *load.Balancer, meter *measure.Meter, start time.Duration,
 	loadDone <-chan struct{}, logf func(string, ...any)) (peak measure.Usage) {
 	ticker := time.NewTicker(time.Second)
@@ -220,7 +220,7 @@
 		case <-ticker.C:
 		}
 		elapsed := w.Now() - start - time.Second/2 // middle of the sampled second
-		cpu, memory := 0.0, 0.0                    // CPU seconds, MB
+		cpu, memory := 0.0, 0.0                    // CPU seconds of all proxies in this second; memory of all, in MB
 		conns, queued := 0, 0
 		usage := proxyFleet.processUsage()
 		for i, u := range usage {
--- a/lab/run/run_test.go
+++ b/lab/run/run_test.go
@@ -229,7 +229,7 @@
 }
 
 // The error for a proxy that does not start must name the proxy and quote its log.
-func TestADaemonThatDoesNotStartIsNamed(t *testing.T) {
+func TestStartFailureQuotesLog(t *testing.T) {
 	x, err := experiment.Read("../../experiments/smoke.toml")
 	if err != nil {
 		t.Fatal(err)
--- a/lab/run/settings.go
+++ b/lab/run/settings.go
@@ -19,15 +19,15 @@
 // Settings of every proxy that experiments do not vary.
 const (
 	quotaHeadroom        = 1.2 // quota of a tenant that has none configured, as a multiple of its share of the load
-	beyondShareBenefit   = 0.1
-	connectionDeduction  = 0.1
-	handshakeDeduction   = 0.1
-	originKind           = 2 // index of "origin" in "skus"
+	beyondShareBenefit   = 0.1 // share of its benefit that an op beyond its tenant's quota keeps
+	connectionDeduction  = 0.1 // price of 100 open connections to each cache, in benefit
+	handshakeDeduction   = 0.1 // price of one new connection per op, in benefit
+	originKind           = 2   // index of "origin" in "skus"
 	connIdleMicros       = 60_000_000
 	connectTimeoutMicros = 100_000
 	tickMicros           = 5000
-	maxOpen              = 20_000
-	proxySeedSpacing     = 1000 // between the proxies' seeds of two runs with adjacent seeds
+	maxOpen              = 20_000 // ops in progress
+	proxySeedSpacing     = 1000   // difference between the seeds of a proxy in runs with adjacent seeds; above the number of proxies
 )
 
 // micros converts a duration to microseconds.
@@ -86,7 +86,7 @@
 	}
 }
 
-// operatorsConfig returns the operators' configuration file of all proxies; empty: none.
+// operatorsConfig returns the text of the operators' configuration file of all proxies; empty: none is needed.
 func operatorsConfig(dir string, exp *experiment.File) (text string) {
 	if exp.Proxies.DoubtShare > 0 {
 		text += fmt.Sprintf("[list]\ndoubt = %v\n", exp.Proxies.DoubtShare)
--- a/lab/run/soak.go
+++ b/lab/run/soak.go
@@ -25,13 +25,12 @@
 	return r.Err != nil || !r.Result.Verdict.Passed() || len(r.Result.Crashes) > 0
 }
 
-// Invalid reports whether a run without failures proves nothing, as when the laboratory itself ran late.
+// Invalid reports whether a run without failures is no valid evidence, for example because the laboratory itself ran late.
 func (r SoakResult) Invalid() bool {
 	return r.Err == nil && !r.Failed() && len(r.Result.InvalidReasons) > 0
 }
 
-// Soak executes one drawn experiment for each seed, a number of them in parallel, and calls onResult at the end of each, for one at a
-// time.
+// Soak executes one drawn experiment for each seed, a number of them in parallel. It calls onResult at the end of each, never concurrently.
 func Soak(seeds []uint64, length time.Duration, parallel int, o Options, onResult func(SoakResult)) {
 	jobs := make(chan uint64)
 	var wait sync.WaitGroup
--- a/lab/run/soak_test.go
+++ b/lab/run/soak_test.go
@@ -37,7 +37,7 @@
 	}
 }
 
-// A release of thousands of caches, most of them in slow start, under short deadlines. Guards against a repetition of such an incident.
+// A release of thousands of caches, most of them in warm-up, under short deadlines. Guards against a repetition of such an incident.
 func TestLargeRelease(t *testing.T) {
 	t.Parallel()
 	x, err := experiment.Read("../../experiments/large-release.toml", "length=16s")
--- a/lab/run/standins.go
+++ b/lab/run/standins.go
@@ -10,7 +10,7 @@
 	"minttray/lab/world"
 )
 
-// ServeStandIns runs the stand-ins of an experiment without load and proxies until stop is closed, and writes the proxies'
+// ServeStandIns runs the stand-ins of an experiment, without load or proxies, until stop is closed, and writes the proxies'
 // configurations, so that a proxy can be tried by hand.
 func ServeStandIns(exp *experiment.File, dir string, logf func(format string, args ...any), stop <-chan struct{}) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
--- a/lab/ways/conn.go
+++ b/lab/ways/conn.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	chunkSize = 16 << 10 // bytes read at once
-	maxChunks = 64       // chunks in transit in each direction, before a writer blocks
+	chunkSize = 16 << 10 // largest number of bytes read at once
+	maxChunks = 64       // chunks in transit in each direction; at this number reading from the peer, or Write, blocks
 )
 
 // Conn is the laboratory's end of a connection. Its data is subject to the rules between the two endpoints.
@@ -19,28 +19,29 @@
 	rules     *RuleTable
 	remote    Endpoint
 	local     Endpoint
-	silent    bool // carries no data in either direction
+	silent    bool // carries no data in either direction, by SilentShare
 	inbound   direction
 	outbound  direction
 	closed    chan struct{} // closed by Close
 	closeOnce sync.Once
 	readEnded chan struct{} // closed when the underlying connection has ended
-	readErr   error         // why it has ended; valid once readEnded is closed
+	readErr   error         // why it has ended; nil before, and if receive ended because of Close
 }
 
 // chunk is data in transit.
 type chunk struct {
 	data       []byte
-	sentAt     time.Time
-	releasedAt time.Time // when the bandwidth limit lets it pass; zero: no limit applied yet
+	sentAt     time.Time // when it was read from the peer, or passed to Write
+	releasedAt time.Time // when it passes a bandwidth limit; zero: no limit was applied
 }
 
-// direction is the state of one direction of a connection.
+// direction is the state of one direction of a connection. current, rest, sentAt, readDeadline and deadlineChanged are used for inbound
+// data only.
 type direction struct {
 	queue           chan chunk
-	current         *chunk        // taken off the queue and still in transit
+	current         *chunk        // taken off the queue and still in transit; nil: none. Used by Read alone, as is rest
 	rest            []byte        // unread part of a delivered chunk
-	busyUntil       time.Time     // until when the bandwidth limit is used up; not guarded by mu
+	busyUntil       time.Time     // when all chunks accepted so far will have passed the bandwidth limit; not guarded by mu, as one goroutine uses it
 	mu              sync.Mutex    // guards the fields below
 	sentAt          time.Time     // of the last delivered chunk
 	readDeadline    time.Time     // zero: none
@@ -68,7 +69,8 @@
 	return k
 }
 
-// receive reads data as it arrives, whatever the rules say, so that sentAt is the time at which the peer sent it.
+// receive reads data as it arrives, while fewer than maxChunks chunks are in transit, so that sentAt is close to the time at which the
+// peer sent it. Rules delay only the queued data.
 func (k *Conn) receive() {
 	defer close(k.inbound.queue)
 	for {
@@ -90,7 +92,7 @@
 }
 
 // transitDelay returns how much longer a chunk is in transit; 0: it has arrived. cut means that it stays in transit until the rules
-// change, when changed is closed.
+// change, when changed is closed. At the first call for a chunk under a bandwidth limit, it reserves the time that the chunk takes.
 func (k *Conn) transitDelay(d *direction, from, to Endpoint, c *chunk) (remaining time.Duration, cut bool, changed <-chan struct{}) {
 	rule, changed := k.rules.effective(from, to)
 	if rule.Cut {
@@ -110,7 +112,7 @@
 	return max(time.Until(due), 0), false, changed
 }
 
-// Read returns data that has passed the link. SentAt returns when the peer sent it.
+// Read returns data that has passed the link. See SentAt for when the peer sent it.
 func (k *Conn) Read(b []byte) (int, error) {
 	d := &k.inbound
 	for len(d.rest) == 0 {
@@ -159,7 +161,7 @@
 	return n, nil
 }
 
-// SentAt returns when the peer sent the bytes that were last read.
+// SentAt returns about when the peer sent the bytes that were last read.
 func (k *Conn) SentAt() time.Time {
 	k.inbound.mu.Lock()
 	defer k.inbound.mu.Unlock()
@@ -183,7 +185,7 @@
 // time-out would be taken for a fault of the peer.
 func (k *Conn) SetWriteDeadline(time.Time) error { return nil }
 
-// Write queues data for the link. It blocks only while the link holds maxChunks chunks.
+// Write queues data for the link. It blocks only while maxChunks chunks are in transit.
 func (k *Conn) Write(b []byte) (int, error) {
 	select {
 	case <-k.closed:
@@ -201,7 +203,8 @@
 	}
 }
 
-// send writes queued data to the underlying connection, data queued before Close included, unless the link is cut then.
+// send writes queued data to the underlying connection when it has passed the link. After Close it writes the rest of the queue, unless the
+// link is cut, and then closes the underlying connection.
 func (k *Conn) send() {
 	defer k.Conn.Close()
 	for closed := false; ; {
@@ -241,7 +244,8 @@
 	}
 }
 
-// Close closes the connection once the data in transit is written.
+// Close ends the connection and returns at once. Data in transit to the peer is still written, unless the link is cut; data in transit from
+// the peer is dropped.
 func (k *Conn) Close() error {
 	k.closeOnce.Do(func() {
 		k.rules.subscribe(k, false)
@@ -259,17 +263,18 @@
 	k.Close()
 }
 
-// rulesChanged resets the connection with the probability that a new rule demands.
+// rulesChanged resets the connection with probability ResetShare of an added rule that matches either direction. It does nothing for other
+// changes.
 func (k *Conn) rulesChanged(added *Rule) {
 	if added != nil && added.ResetShare > 0 && (added.matches(k.remote, k.local) || added.matches(k.local, k.remote)) && k.rules.draw(added.ResetShare) {
 		k.Abort()
 	}
 }
 
-// ErrLinkCut is returned by Dial when the link was cut until the time-out.
+// ErrLinkCut is returned by Dial if the link stayed cut for the whole time-out.
 var ErrLinkCut = errors.New("link is cut")
 
-// Dial connects to another process. While the link is cut it waits, up to the time-out.
+// Dial connects to another process. The wait while the link is cut and the dial after it take up to timeout each.
 func (t *RuleTable) Dial(local, remote Endpoint, addr string, timeout time.Duration) (net.Conn, error) {
 	for expired := time.After(timeout); t.IsCut(local, remote); {
 		_, changed := t.effective(local, remote)
--- a/lab/ways/listen.go
+++ b/lab/ways/listen.go
@@ -11,7 +11,7 @@
 const (
 	acceptBacklog     = 512                   // handshakes that may wait to be accepted
 	maxFillerConns    = 8                     // connections opened to fill the accept queue
-	fillerDialTimeout = 20 * time.Millisecond // a handshake on loopback takes far less
+	fillerDialTimeout = 20 * time.Millisecond // a handshake on loopback takes far less, so a time-out shows that the accept queue is full
 	synRetryPeriod    = 30 * time.Second      // after a cut, in which a kernel may still complete a handshake that was started during it
 )
 
@@ -25,10 +25,10 @@
 	local  Endpoint
 
 	mu          sync.Mutex
-	blocked     bool       // the accept queue is filled
-	restoredAt  time.Time  // end of the last cut
-	fillerConns []net.Conn // open connections that fill the accept queue
-	closed      chan struct{}
+	blocked     bool          // the accept queue is filled
+	restoredAt  time.Time     // end of the last cut; zero: none yet
+	fillerConns []net.Conn    // open connections that fill the accept queue
+	closed      chan struct{} // closed by Close
 	closeOnce   sync.Once
 }
 
@@ -76,7 +76,7 @@
 	}
 }
 
-// setBacklog sets the length of the accept queue.
+// setBacklog sets the backlog of the listening socket: the kernel lets one more connection than n wait to be accepted.
 func (l *Listener) setBacklog(n int) {
 	if raw, err := l.SyscallConn(); err == nil {
 		raw.Control(func(fd uintptr) { syscall.Listen(int(fd), n) })
@@ -128,7 +128,7 @@
 	return time.Since(l.restoredAt) < synRetryPeriod
 }
 
-// remoteOpen reports whether the peer process still holds a connection open. It asks the kernel for that one socket, as listing all of
+// remoteOpen reports whether the peer process still has its end of a connection open. It asks the kernel for that one socket, as listing all of
 // them takes tens of milliseconds where there are many. If the kernel gives no answer the connection counts as open.
 func remoteOpen(c net.Conn) bool {
 	remote, ok := c.RemoteAddr().(*net.TCPAddr)
--- a/lab/ways/ways.go
+++ b/lab/ways/ways.go
@@ -2,8 +2,8 @@
 // endpoints, can be cut, delayed or limited in bandwidth, and connections can be made silent or reset. The processes under test are
 // not involved: the faults act on the laboratory's own ends of their connections.
 //
-// A cut link is silent: TCP handshakes do not complete, and data waits until the link is restored. Data is dropped if its sender
-// closes the connection meanwhile, as a reset does.
+// On a cut link TCP handshakes do not complete, and data waits until the link is restored. Data that waits is lost if its sender closes or
+// resets the connection before that.
 package ways
 
 import (
@@ -15,8 +15,8 @@
 
 // Endpoint is one end of a connection, or a pattern for such ends.
 type Endpoint struct {
-	Site int    // number of the site; AnySite matches all
-	Name string // of the process; empty matches all
+	Site int    // index of the zone; AnySite matches all
+	Name string // name of the process; empty matches all
 }
 
 // AnySite matches all sites.
@@ -27,16 +27,17 @@
 	return (e.Site == AnySite || e.Site == x.Site) && (e.Name == "" || e.Name == x.Name)
 }
 
-// Rule is a fault on the links between two patterns of endpoints. It applies to connections whichever end opens them.
+// Rule is a fault on the links between two patterns of endpoints, Local and Remote. It applies to connections whichever end opens them, and
+// whichever end is the laboratory's.
 type Rule struct {
 	Local          Endpoint
 	Remote         Endpoint
-	OtherSites     bool          // the remote ends are those at all sites but that of Local; Remote is not used
-	Outbound       bool          // applies from local to remote ends
-	Inbound        bool          // applies from remote to local ends
+	OtherSites     bool          // the remote ends are all endpoints outside the zone of Local; Remote is not used
+	Outbound       bool          // applies to data from Local to Remote
+	Inbound        bool          // applies to data from Remote to Local
 	Cut            bool          // no data passes
-	Delay          time.Duration // added one way
-	BytesPerSecond float64       // bandwidth of each connection; 0: no limit
+	Delay          time.Duration // added in each direction to which the rule applies
+	BytesPerSecond float64       // bandwidth of each connection in each of these directions; 0: no limit
 	SilentShare    float64       // share of new connections that are accepted and then carry no data, from 0 to 1
 	ResetShare     float64       // share of connections that are reset, open ones at once and new ones as they are accepted, from 0 to 1
 }
@@ -54,22 +55,22 @@
 	mu        sync.Mutex
 	rules     []*Rule
 	random    *rand.Rand
-	changed   chan struct{} // closed and replaced at each change
-	listeners map[ruleListener]bool
+	changed   chan struct{}         // closed and replaced at each change
+	observers map[ruleObserver]bool // connections and listeners
 }
 
-// ruleListener is called at each change of the rules: with the rule that was added, or nil when one was removed.
-type ruleListener interface{ rulesChanged(added *Rule) }
+// ruleObserver is informed of each change of the rules. added is the rule that was added, or nil if one was removed.
+type ruleObserver interface{ rulesChanged(added *Rule) }
 
-// randomStream keeps the choices of this package independent of other uses of the same seed.
+// randomStream makes the random numbers of this package independent of other uses of the same seed. It is "ways" in ASCII.
 const randomStream = 0x77617973
 
-// New makes a table without rules. Random choices depend on the seed and on the order of connections.
+// New returns a table without rules. Random choices depend on the seed and on the order of connections.
 func New(seed uint64) *RuleTable {
-	return &RuleTable{random: rand.New(rand.NewPCG(seed, randomStream)), changed: make(chan struct{}), listeners: map[ruleListener]bool{}}
+	return &RuleTable{random: rand.New(rand.NewPCG(seed, randomStream)), changed: make(chan struct{}), observers: map[ruleObserver]bool{}}
 }
 
-// Add adds a rule, until remove is called.
+// Add adds a rule, which applies until remove is called.
 func (t *RuleTable) Add(r Rule) (remove func()) {
 	t.update(func() { t.rules = append(t.rules, &r) }, &r)
 	return func() {
@@ -77,54 +78,55 @@
 	}
 }
 
-// update changes the rules, and returns once all listeners have handled the change.
+// update changes the rules, and returns once all observers have handled the change.
 func (t *RuleTable) update(apply func(), added *Rule) {
 	t.mu.Lock()
 	apply()
 	close(t.changed)
 	t.changed = make(chan struct{})
-	var listeners []ruleListener
-	for c := range t.listeners {
-		listeners = append(listeners, c)
+	var observers []ruleObserver
+	for o := range t.observers {
+		observers = append(observers, o)
 	}
 	t.mu.Unlock()
-	var notified sync.WaitGroup // notified concurrently: blocking a listener takes tens of milliseconds
-	for _, c := range listeners {
+	var notified sync.WaitGroup // concurrently, because a Listener takes tens of milliseconds to fill its accept queue
+	for _, o := range observers {
 		notified.Add(1)
 		go func() {
 			defer notified.Done()
-			c.rulesChanged(added)
+			o.rulesChanged(added)
 		}()
 	}
 	notified.Wait()
 }
 
-// subscribe adds a listener or removes it.
-func (t *RuleTable) subscribe(c ruleListener, on bool) {
+// subscribe adds an observer, or removes it.
+func (t *RuleTable) subscribe(o ruleObserver, on bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if on {
-		t.listeners[c] = true
+		t.observers[o] = true
 	} else {
-		delete(t.listeners, c)
+		delete(t.observers, o)
 	}
 }
 
-// effective combines all rules for one direction; changed is closed at the next change of the rules.
-func (t *RuleTable) effective(from, to Endpoint) (sum Rule, changed <-chan struct{}) {
+// effective combines all rules for one direction: delays add up, and the lowest bandwidth and the largest shares apply. changed is closed at
+// the next change of the rules.
+func (t *RuleTable) effective(from, to Endpoint) (combined Rule, changed <-chan struct{}) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, r := range t.rules {
 		if r.matches(from, to) {
-			sum.Cut = sum.Cut || r.Cut
-			sum.Delay += r.Delay
-			if r.BytesPerSecond > 0 && (sum.BytesPerSecond == 0 || r.BytesPerSecond < sum.BytesPerSecond) {
-				sum.BytesPerSecond = r.BytesPerSecond
+			combined.Cut = combined.Cut || r.Cut
+			combined.Delay += r.Delay
+			if r.BytesPerSecond > 0 && (combined.BytesPerSecond == 0 || r.BytesPerSecond < combined.BytesPerSecond) {
+				combined.BytesPerSecond = r.BytesPerSecond
 			}
-			sum.SilentShare, sum.ResetShare = max(sum.SilentShare, r.SilentShare), max(sum.ResetShare, r.ResetShare)
+			combined.SilentShare, combined.ResetShare = max(combined.SilentShare, r.SilentShare), max(combined.ResetShare, r.ResetShare)
 		}
 	}
-	return sum, t.changed
+	return combined, t.changed
 }
 
 // IsCut reports whether no connection can be opened between two endpoints: a cut of either direction prevents the handshake.
@@ -134,14 +136,14 @@
 	return forward.Cut || backward.Cut
 }
 
-// Faulty reports whether any rule applies between two endpoints.
+// Faulty reports whether rules have an effect in either direction between two endpoints.
 func (t *RuleTable) Faulty(a, b Endpoint) bool {
 	forward, _ := t.effective(a, b)
 	backward, _ := t.effective(b, a)
 	return forward != Rule{} || backward != Rule{}
 }
 
-// draw returns true with a probability.
+// draw returns true with probability share, from 0 to 1.
 func (t *RuleTable) draw(share float64) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/lab/ways/ways_test.go
+++ b/lab/ways/ways_test.go
@@ -98,7 +98,7 @@
 
 // Data held by a cut must keep the time at which it was sent, and must be dropped when its sender closes the connection. Otherwise a
 // push would be judged as sent after its client had given up.
-func TestWhatIsOnACutWayWhenItsSenderClosesNeverComes(t *testing.T) {
+func TestCutLinkDropsDataOfClosedSender(t *testing.T) {
 	w := New(1)
 	l, _ := w.Listen("127.0.0.1:0", client, server)
 	defer l.Close()
@@ -122,7 +122,7 @@
 }
 
 // A write deadline must not end a connection whose data is delayed by a rule.
-func TestAWriteIsNotEndedByItsDeadline(t *testing.T) {
+func TestWriteDeadlineIsIgnored(t *testing.T) {
 	w := New(1)
 	c, err := w.Dial(client, server, startEcho(t, New(2)), longTimeout)
 	if err != nil {
@@ -136,7 +136,7 @@
 }
 
 // Dial must fail with ErrLinkCut after its time-out, and succeed if the link is restored before.
-func TestDialOverACutWay(t *testing.T) {
+func TestDialOverCutLink(t *testing.T) {
 	w := New(1)
 	addr := startEcho(t, New(2))
 	end := w.Add(Rule{Local: server, Remote: client, Outbound: true, Cut: true})
@@ -152,7 +152,7 @@
 
 // A connection that completes at the moment of a cut waits in the accept queue. If its client has closed it by the end of the cut, the
 // server must not read the data written on it.
-func TestWhatWaitsInTheQueueOfACutWayIsNotTakenLate(t *testing.T) {
+func TestAcceptSkipsConnClosedDuringCut(t *testing.T) {
 	w := New(1)
 	l, _ := w.Listen("127.0.0.1:0", client, server)
 	defer l.Close()
@@ -176,7 +176,7 @@
 }
 
 // remoteOpen must see a connection as open until the peer process closes it.
-func TestOpen(t *testing.T) {
+func TestRemoteOpen(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/lab/world/addresses.go
+++ b/lab/world/addresses.go
@@ -10,14 +10,14 @@
 	"syscall"
 )
 
-// addressBlocks is the number of parts of the loopback range that worlds use in turn. Worlds that run concurrently, as tests
+// addressBlocks is the number of parts of the loopback range (127.0.0.0/8) that worlds use in turn. Worlds that run concurrently, as tests
 // make them, must not share addresses: they would take each other's ports while a cache or a proxy is down.
 const addressBlocks = 8
 
 // worldCount counts the worlds of this process.
 var worldCount atomic.Uint32
 
-// nextBlock returns the address block of the next world. It starts from the process id, so that concurrent processes rarely share
+// nextBlock returns the index of the next world's address block, below addressBlocks. It starts from the process id, so that concurrent processes rarely share
 // a block.
 func nextBlock() int { return (os.Getpid() + int(worldCount.Add(1))) % addressBlocks }
 
--- a/lab/world/addresses_test.go
+++ b/lab/world/addresses_test.go
@@ -6,7 +6,7 @@
 )
 
 // Guards against a restart that fails because another process took the port while the cache was down.
-func TestACacheWhosePortIsTakenComesBackAtAnother(t *testing.T) {
+func TestRestartAfterPortWasTaken(t *testing.T) {
 	w, done := newTestWorld(t)
 	defer done()
 	c := w.Caches()[0]
@@ -26,7 +26,7 @@
 }
 
 // Concurrent worlds must not share addresses.
-func TestWorldsHaveBlocksOfTheirOwn(t *testing.T) {
+func TestWorldsUseDistinctAddresses(t *testing.T) {
 	seen := map[string]bool{}
 	for range addressBlocks {
 		w := &World{addressBlock: nextBlock()}
--- a/lab/world/cache.go
+++ b/lab/world/cache.go
@@ -17,7 +17,7 @@
 // Cache is a stand-in for one cache server. It speaks RESP2: CACHE.GET and CACHE.SET as proxies send them.
 type Cache struct {
 	Number uint32 // server number in the ledger, from 1
-	Name   string // id in the list of caches
+	Name   string // ID in the list of caches
 	Zone   int    // index of its zone
 	Small  bool   // of machine kind "small": half the cores
 	Faults Faults
@@ -31,21 +31,21 @@
 	alive        bool
 	listeners    []net.Listener
 	conns        map[*conn]bool
-	startedAt    time.Duration // on the run's clock; negative: fully warmed up before the run
-	loadReport   string        // last report, as sent
-	reportedAt   time.Time
-	RefusedConns atomic.Int64 // connections refused above the limit
-	replaced     atomic.Bool  // a successor has its addresses
+	startedAt    time.Duration // last cold start, on the run's clock; negative: none, it was warm from the beginning of the run
+	loadReport   string        // text of the last load report
+	reportedAt   time.Time     // when loadReport was made
+	RefusedConns atomic.Int64  // connections reset when accepted, because the limit was reached or the cache had stopped; not guarded by mu
+	replaced     atomic.Bool   // a successor uses its addresses; not guarded by mu
 }
 
 // Faults are the faults injected into a server. They may change at any time.
 type Faults struct {
 	mu           sync.Mutex
-	Slow         float64 // factor on the work of each request; 1 or less: none
+	Slow         float64 // factor on the time of each job; 1 or less: no slowdown
 	Refuse       float64 // share of requests refused, from 0 to 1
 	Corrupt      float64 // share of values sent corrupted, from 0 to 1
 	DropAnswer   float64 // share of requests without an answer, from 0 to 1
-	Fail         float64 // share of requests that fail at once, from 0 to 1
+	Fail         float64 // share of requests answered with an error at once, from 0 to 1
 	Unresponsive bool    // no request is answered
 }
 
@@ -68,22 +68,22 @@
 	cache      *Cache
 	netConn    net.Conn
 	number     uint32           // connection number in the ledger
-	zone       int              // of the proxy
-	answers    chan chan []byte // in the order of their commands
+	zone       int              // index of the proxy's zone
+	answers    chan chan []byte // the channel of each answer, in the order of the commands
 	mu         sync.Mutex
-	jobs       map[*job]bool   // queued or running
-	openPushes map[uint64]bool // ops received, whose end is not recorded yet
+	jobs       map[*job]bool   // of this connection, queued or running
+	openPushes map[uint64]bool // numbers of the ops received whose end is not recorded yet
 	closed     bool
 	done       chan struct{} // closed by cleanUp
 }
 
-// milliCores is the unit of capacity in the ledger, per core.
-const milliCores = 1000
+// milliCoresPerCore converts cores to the ledger's unit of capacity, a thousandth of a core.
+const milliCoresPerCore = 1000
 
-// maxPipelined is the number of commands on one connection that may wait for their answers.
+// maxPipelined is the number of commands on one connection that may wait behind the one whose answer is sent next.
 const maxPipelined = 64
 
-// pipelineTimeout is how long a connection with maxPipelined commands may go without taking an answer.
+// pipelineTimeout is how long a further command waits while maxPipelined are waiting. After that the connection is closed.
 const pipelineTimeout = time.Minute
 
 // newCache makes a cache that is not started yet.
@@ -103,7 +103,8 @@
 	return c
 }
 
-// capacityShare returns the share of its full speed that the cache has now: it rises from the cold share to 1 during the warm-up.
+// capacityShare returns the share of its full speed that the cache has now. It rises linearly from the cold share to 1 during the
+// warm-up after a cold start.
 func (c *Cache) capacityShare() float64 {
 	settings := c.world.Experiment.Caches
 	c.mu.Lock()
@@ -115,8 +116,8 @@
 	return min(settings.ColdCapacityShare+(1-settings.ColdCapacityShare)*float64(c.world.Now()-started)/float64(max(settings.WarmUp.Std(), 1)), 1)
 }
 
-// start opens the listeners and announces the cache as active. With cold set it starts empty and in slow start. It does nothing
-// when the cache runs or has been replaced.
+// start opens the listeners and announces the cache as active. With cold set it starts empty and with the cold share of its capacity; see
+// capacityShare. It does nothing if the cache runs or has been replaced.
 func (c *Cache) start(cold bool) error {
 	if c.replaced.Load() {
 		return nil
@@ -161,15 +162,15 @@
 		Kind: ledger.ServerStarted,
 		At:   c.world.Now(),
 		A:    c.Number,
-		B:    uint32(milliCores * c.queue.cores),
+		B:    uint32(milliCoresPerCore * c.queue.cores),
 		C:    coldStart,
 	})
 	c.world.Registry.publishState(c, ledger.StateActive)
 	return nil
 }
 
-// stop closes the listeners, resets all connections and drops all work. Unless the whole world shuts down, the list of caches
-// learns of it after its delay.
+// stop closes the listeners, resets all connections and drops all work. Unless shutdown is set, for the end of the run, it publishes the
+// cache as out.
 func (c *Cache) stop(shutdown bool) {
 	c.mu.Lock()
 	c.alive = false
@@ -179,8 +180,8 @@
 	c.listeners = nil
 	conns := c.openConns()
 	c.mu.Unlock()
-	for _, l := range conns {
-		l.abort()
+	for _, k := range conns {
+		k.abort()
 	}
 	c.queue.clear()
 	if !shutdown {
@@ -188,13 +189,13 @@
 	}
 }
 
-// Kill ends the cache at once, as a crash does.
+// Kill stops the cache at once, as a crash does.
 func (c *Cache) Kill() { c.stop(false) }
 
-// Restart starts a killed cache cold and empty under the same id.
+// Restart starts a killed cache cold and empty, with the same ID and addresses.
 func (c *Cache) Restart() error { return c.start(true) }
 
-// Drain announces the cache as leaving. It goes on serving until it is killed.
+// Drain publishes the cache as leaving. It continues to serve until it is killed.
 func (c *Cache) Drain() { c.world.Registry.publishState(c, ledger.StateLeaving) }
 
 // Alive reports whether the cache runs.
@@ -209,15 +210,15 @@
 	c.mu.Lock()
 	conns := c.openConns()
 	c.mu.Unlock()
-	for _, l := range conns {
-		l.abort()
+	for _, k := range conns {
+		k.abort()
 	}
 }
 
-// Pause stops the cache from starting work for a duration.
+// Pause stops the cache from starting work for a duration, and returns at once. Running jobs continue.
 func (c *Cache) Pause(duration time.Duration) { c.queue.pauseUntil(time.Now().Add(duration)) }
 
-// Invalidate removes a share of the keys, the same keys at every cache.
+// Invalidate removes a share of the keys, from 0 to 1, the same keys at every cache.
 func (c *Cache) Invalidate(share float64) {
 	c.mu.Lock()
 	store := c.store
@@ -225,7 +226,7 @@
 	store.removeIf(func(key string) bool { return c.world.random(OpNumber(key), 0, "flush") < share })
 }
 
-// Prefill stores a key as the most recently used one.
+// Prefill stores a key as the most recently used one, with a value of size bytes.
 func (c *Cache) Prefill(key string, size int) { c.store.put(key, size) }
 
 // Connections returns the number of open connections.
@@ -238,8 +239,8 @@
 // openConns lists the open connections; the caller holds the mutex.
 func (c *Cache) openConns() []*conn {
 	var conns []*conn
-	for connection := range c.conns {
-		conns = append(conns, connection)
+	for k := range c.conns {
+		conns = append(conns, k)
 	}
 	return conns
 }
@@ -271,7 +272,7 @@
 		c.conns[k] = true
 		c.mu.Unlock()
 		if work := c.world.Experiment.Caches.HandshakeWork.Std(); work > 0 {
-			c.queue.offer(&job{work: work, done: func() {}})
+			c.queue.offer(&job{work: work, done: func() {}}) // a full queue drops it, and the connection is served all the same
 		}
 		go k.writeAnswers()
 		go k.readCommands()
@@ -302,14 +303,14 @@
 		answer := make(chan []byte, 1)
 		select {
 		case k.answers <- answer:
-		case <-time.After(pipelineTimeout): // the peer pipelines commands and reads no answers
+		case <-time.After(pipelineTimeout): // no answer was taken: the peer reads none, or the cache gives none
 			return
 		}
 		k.cache.handleCommand(k, cmd, answer)
 	}
 }
 
-// writeAnswers sends the answers in the order of their commands.
+// writeAnswers sends the answers in the order of their commands, until the connection ends.
 func (k *conn) writeAnswers() {
 	for {
 		select {
@@ -328,7 +329,7 @@
 	}
 }
 
-// cleanUp closes the connection, cancels its jobs as configured, and records its open pushes as lost with the connection.
+// cleanUp closes the connection, cancels its jobs as configured by CancelMode, and records the end of its open pushes as a lost connection.
 func (k *conn) cleanUp() {
 	k.netConn.Close()
 	k.cache.mu.Lock()
@@ -357,7 +358,8 @@
 	}
 }
 
-// endPush records the end of a push, once, and passes its answer to writeAnswers, after the delay between the zones.
+// endPush records the end of a push and passes its answer to writeAnswers, both after the one-way delay between the zones. It does nothing
+// if the end was recorded before.
 func (k *conn) endPush(op uint64, outcome uint32, answer chan []byte, text string) {
 	delay := k.cache.world.zoneDelay(k.zone, k.cache.Zone)
 	finish := func() {
@@ -384,7 +386,7 @@
 	}
 }
 
-// parseProps parses "name=value,name=value".
+// parseProps parses properties of the form "name=value,name=value".
 func parseProps(props string) map[string]string {
 	values := map[string]string{}
 	for _, p := range strings.Split(props, ",") {
@@ -394,7 +396,7 @@
 	return values
 }
 
-// QueuedRequests returns the number of requests that wait for a core.
+// QueuedRequests returns the number of jobs that wait for a core: requests and handshakes.
 func (c *Cache) QueuedRequests() int {
 	_, waiting := c.queue.load()
 	return waiting
--- a/lab/world/origin.go
+++ b/lab/world/origin.go
@@ -17,7 +17,7 @@
 // load, it slows down as its queue grows, and it finishes work whose client has left.
 type Origin struct {
 	Faults  Faults
-	Fetches atomic.Int64 // requests received, those of caches included
+	Fetches atomic.Int64 // requests received, of proxies and of caches
 
 	world  *World
 	addrs  []string // by proxy group
@@ -58,16 +58,16 @@
 const (
 	headerTimeout     = 10 * time.Second // for the header of an HTTP request
 	maxBodyBytes      = 64 << 10         // of a request to the origin
-	maxFilledPerFetch = 2                // caches that store the value of one fetch
+	maxFilledPerFetch = 2                // caches that store the value of one fetch by a proxy
 )
 
 // connContextKey is the context key of a request's net.Conn.
 type connContextKey struct{}
 
-// Pause stops the origin from starting work for a duration; requests wait in its queue.
+// Pause stops the origin from starting work for a duration, and returns at once. Requests wait in its queue.
 func (o *Origin) Pause(duration time.Duration) { o.queue.pauseUntil(time.Now().Add(duration)) }
 
-// invalidateCopies removes a written key from all caches.
+// invalidateCopies removes a key that was written from all caches.
 func (o *Origin) invalidateCopies(key string) {
 	for _, c := range o.world.Caches() {
 		c.mu.Lock()
@@ -77,13 +77,14 @@
 	}
 }
 
-// fetch queues a fetch by a cache in mode "through". It returns false when the queue is full.
+// fetch queues a fetch by a cache in mode "through". It returns false if the queue is full; done is not called then.
 func (o *Origin) fetch(op uint64, done func(ok bool)) bool {
 	o.Fetches.Add(1)
 	return o.queue.offer(&job{work: o.world.drawWork(o.world.Experiment.Origin.Work.Std(), op, 0), done: func() { done(true) }})
 }
 
-// serve handles a request of a proxy, and records it as a push to server 0.
+// serve handles a request of a proxy, and records it as a push to server 0. Health checks and load requests get an empty queue as answer
+// and are not recorded.
 func (o *Origin) serve(out http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/ping" || r.URL.Path == "/_load" {
 		fmt.Fprint(out, "queue=0")
--- a/lab/world/registry.go
+++ b/lab/world/registry.go
@@ -17,14 +17,14 @@
 	"minttray/lab/ledger"
 )
 
-// Registry is the list of caches. It forwards each change to the agents of all proxies after a delay.
+// Registry is the list of caches. It delivers each change to the agents of all proxies after a delay.
 type Registry struct {
 	BytesSent atomic.Int64 // bytes of lists sent to all proxies
 
 	world   *World
 	mu      sync.Mutex
 	agents  []*Agent
-	entries []cacheEntry // by server number; 0 is the origin, which is not registered here
+	entries []cacheEntry // by server number; entry 0 is unused, as the origin (server 0) is not in the list
 }
 
 // cacheEntry is one cache in the list.
@@ -35,7 +35,7 @@
 	Kind    string // machine kind
 	State   uint32 // ledger.StateActive, StateLeaving or StateOut
 	Started int64  // Unix time in ms; 0: before the run
-	version uint64 // counts the changes of this entry
+	version uint64 // number of the last change of this entry
 }
 
 // Agent is the discovery agent of one proxy. It serves the list of caches as far as it has received it.
@@ -44,21 +44,21 @@
 
 	registry       *Registry
 	zone           int // index of its zone
-	listenerIndex  int // proxy group, whose listeners it names
+	groupIndex     int // index of the proxy group; the list has the servers' addresses for this group
 	server         *http.Server
 	mu             sync.Mutex
-	version        uint64                // of the list
-	oldestDiffBase uint64                // watches on older versions get the full list
+	version        uint64                // version of the list; each change gives a new one
+	oldestDiffBase uint64                // oldest version from which a change set is sent; older watches get the full list
 	entries        map[uint32]cacheEntry // by server number
 	changedIn      map[uint32]uint64     // version of the list in which an entry last changed, by server number
-	pending        []cacheEntry          // received, and not yet part of the list
+	pending        []cacheEntry          // changes received that are not yet part of the list
 	silent         bool                  // fault: answers nothing
 	empty          bool                  // fault: lists no caches
-	hiddenZones    map[int]bool          // fault: zones whose caches it does not list, though they run
-	extraDelay     time.Duration         // fault: added to the delay of each change
+	hiddenZones    map[int]bool          // fault: zones whose caches it leaves out of the list although they run
+	extraDelay     time.Duration         // fault: added to the maximum delay of a change
 	changed        chan struct{}         // closed when the list or a fault changes
-	incarnation    uint32                // of the proxy that asks; 0: none yet
-	announced      map[uint32]uint32     // state last sent to that incarnation, by server number
+	incarnation    uint32                // of the proxy that sends the requests; 0: none yet
+	announced      map[uint32]uint32     // state last announced to that incarnation, by server number
 }
 
 func newRegistry(w *World) *Registry { return &Registry{world: w} }
@@ -69,8 +69,8 @@
 	}
 }
 
-// publishState records a new state of a cache and sends it to all agents. Each receives it after a delay of its own, between half and
-// all of the configured one.
+// publishState sets the state of a cache in the list and sends it to all agents. Each receives it after a random delay of its own,
+// between 50 % and 100 % of the configured delay plus extraDelay, and later if the link between the zones is cut then.
 func (r *Registry) publishState(c *Cache, state uint32) {
 	kind, started := "std", int64(0)
 	if c.Small {
@@ -100,7 +100,7 @@
 	}
 }
 
-// NewAgent starts the agent of a proxy, with the list as it is now.
+// NewAgent starts the agent of a proxy, with the present list.
 func (r *Registry) NewAgent(proxy int) (*Agent, error) {
 	zone, group := r.world.Experiment.ZoneOfProxy(proxy), r.world.proxyGroupOf(proxy)
 	l, err := r.world.listen(r.world.agentHost(proxy)+":0", r.world.proxyGroups()[group], r.world.registryEndpoint(zone))
@@ -111,7 +111,7 @@
 		Addr:           l.Addr().String(),
 		registry:       r,
 		zone:           zone,
-		listenerIndex:  group,
+		groupIndex:     group,
 		entries:        map[uint32]cacheEntry{},
 		changedIn:      map[uint32]uint64{},
 		changed:        make(chan struct{}),
@@ -132,10 +132,10 @@
 	return a, nil
 }
 
-// cutRetryInterval is how often a replica of the list retries to send a change over a cut link to another site.
+// cutRetryInterval is the time between two attempts to deliver a change over a cut link.
 const cutRetryInterval = 100 * time.Millisecond
 
-// deliver brings a change from the cache's site to the agent. While the link between their sites is cut it retries.
+// deliver brings a change from the cache's zone to the agent's. While the link between these zones is cut it retries.
 func (a *Agent) deliver(e cacheEntry) {
 	w := a.registry.world
 	if w.Links != nil && e.Zone != a.zone && w.Links.IsCut(w.registryEndpoint(e.Zone), w.registryEndpoint(a.zone)) {
@@ -145,7 +145,7 @@
 	a.enqueue(e)
 }
 
-// enqueue adds a change to the list, at once or with the next batch.
+// enqueue adds a change to the list: at once, or with all others that arrive within the batch interval after the first.
 func (a *Agent) enqueue(e cacheEntry) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -162,7 +162,7 @@
 	}
 }
 
-// applyPending makes one new version of the list from all pending changes; the caller holds the mutex.
+// applyPending applies all pending changes, as one new version of the list; the caller holds the mutex.
 func (a *Agent) applyPending() {
 	changed := false
 	for _, e := range a.pending {
@@ -180,13 +180,14 @@
 	}
 }
 
-// notifyWatches wakes all waiting requests; the caller holds the mutex.
+// notifyWatches wakes all watches; the caller holds the mutex.
 func (a *Agent) notifyWatches() {
 	close(a.changed)
 	a.changed = make(chan struct{})
 }
 
-// SetFault makes the agent silent, its list empty or its changes late, or ends these faults.
+// SetFault sets which of three faults the agent has: it answers no request, its list is empty, or changes reach it later by up to
+// extraDelay. Zero values end the faults.
 func (a *Agent) SetFault(silent, empty bool, extraDelay time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -199,7 +200,7 @@
 	a.notifyWatches()
 }
 
-// HideZone removes a zone's caches from the list, or lists them again.
+// HideZone leaves the caches of a zone out of the list, or lists them again.
 func (a *Agent) HideZone(zone int, hidden bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -212,7 +213,7 @@
 	a.notifyWatches()
 }
 
-// SetIncarnation sets which incarnation of the proxy asks from now on, for the records of announced states.
+// SetIncarnation sets the incarnation of the proxy that sends requests from now on, for the records of announced states.
 func (a *Agent) SetIncarnation(incarnation uint32) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -231,17 +232,17 @@
 	Started   int64   `json:"startedAtMs"`
 }
 
-// lifecycles are the names of the ledger's server states in the discovery protocol, by state.
+// lifecycles are the names of server states in the discovery protocol, indexed by the ledger's State constants.
 var lifecycles = []string{"active", "leaving", "left"}
 
-// List returns the full list as the agent has it, as the initial list of a proxy's configuration.
+// List returns the agent's full list, for use as the initial list in a proxy's configuration.
 func (a *Agent) List() map[string]any {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.fullDocument()
 }
 
-// diffDocument returns the entries that changed after a version; the caller holds the mutex.
+// diffDocument returns the entries that changed after a version, without those of hidden zones; the caller holds the mutex.
 func (a *Agent) diffDocument(since uint64) map[string]any {
 	instances := []instance{}
 	caches := a.registry.world.Caches()
@@ -254,7 +255,9 @@
 	return map[string]any{"generation": a.version, "reset": false, "instances": instances}
 }
 
-// fullDocument returns all entries that are not out, and the origin; the caller holds the mutex.
+// fullDocument returns the origin and all entries that are not out, without those that a fault hides. Entries are in the order of
+// their server numbers, which are below 1<<16. Numbers are missing while the first change of their caches has not reached the agent; the
+// search ends at a missing number that exceeds the number of entries by more than 64. The caller holds the mutex.
 func (a *Agent) fullDocument() map[string]any {
 	instances := []instance{}
 	caches := a.registry.world.Caches()
@@ -272,7 +275,7 @@
 	}
 	instances = append(instances, instance{
 		ID:        "origin",
-		Addr:      a.registry.world.Origin.addrs[a.listenerIndex],
+		Addr:      a.registry.world.Origin.addrs[a.groupIndex],
 		Zone:      a.registry.world.Experiment.Zones.Names[0],
 		Kind:      "origin",
 		Lifecycle: "active",
@@ -281,7 +284,7 @@
 	return map[string]any{"generation": a.version, "reset": true, "instances": instances}
 }
 
-// instance returns the document entry of a cache.
+// instance returns the entry of a cache in a document.
 func (a *Agent) instance(e cacheEntry, c *Cache) instance {
 	weight := 1.0
 	if c.Small {
@@ -289,7 +292,7 @@
 	}
 	return instance{
 		ID:        e.ID,
-		Addr:      c.addr(a.listenerIndex),
+		Addr:      c.addr(a.groupIndex),
 		Zone:      a.registry.world.Experiment.Zones.Names[e.Zone],
 		Kind:      e.Kind,
 		Lifecycle: lifecycles[e.State],
@@ -298,8 +301,10 @@
 	}
 }
 
-// serve answers a request for the list, or a watch on a version of it: with the changes since, or with an empty change set after the
-// requested wait. The states in an answer are recorded as announced.
+// serve answers a request for the list. The parameter index is the version that the proxy has; without it the answer is the full list at
+// once. If the list has another version, the answer is the changes since index, or the full list if index is below oldestDiffBase or unknown.
+// Otherwise serve waits for a change, for as many milliseconds as the parameter wait says, at most maxWatchMillis, and then answers with an
+// empty change set. A silent agent does not answer. Before any other answer than an empty change set, the states of the caches are recorded as announced.
 func (a *Agent) serve(out http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != "/catalog/members" {
 		http.NotFound(out, r)
@@ -339,7 +344,7 @@
 	}
 }
 
-// maxWatchMillis is the longest time that a watch may ask to wait.
+// maxWatchMillis is the longest wait of a watch, in milliseconds.
 const maxWatchMillis = 60_000
 
 // writeDocument sends a document, and counts its bytes.
@@ -349,12 +354,13 @@
 	out.Write(text)
 }
 
-// recordAnnounced records the state of each server in an answer where it differs from what the incarnation was told before; the caller
-// holds the mutex.
+// recordAnnounced records, for each cache that the agent knows, a state that differs from the one last announced to the incarnation.
+// A cache that a fault hides counts as out. The caller holds the mutex.
 func (a *Agent) recordAnnounced() {
 	for n, e := range a.entries {
 		state := e.State
-		// Proxies that are configured to doubt a list with many caches missing do not take an empty list for the end of all caches.
+		// With DoubtShare 0 proxies accept an empty list, which announces all caches as out. Otherwise they never accept it, and no
+		// state counts as announced.
 		if a.empty && a.registry.world.Experiment.Proxies.DoubtShare == 0 {
 			state = ledger.StateOut
 		} else if a.empty {
@@ -370,7 +376,8 @@
 	}
 }
 
-// Pick selects count items, or a share of them, at random from the run's seed and a fault's number. With neither it selects one.
+// Pick selects items at random: a share of them, from 0 to 1, or count of them if the share is 0, or one if both are 0. The selection
+// depends on the run's seed and on n, the position of a fault in its file.
 func Pick[T any](seed, n uint64, items []T, count int, share float64) []T {
 	items = append([]T(nil), items...)
 	rand.New(rand.NewPCG(seed, n)).Shuffle(len(items), func(i, j int) { items[i], items[j] = items[j], items[i] })
@@ -382,7 +389,7 @@
 	return items[:min(count, len(items))]
 }
 
-// FreeAddr returns an address with a free port on a loopback host.
+// FreeAddr returns an address of a host with a port that was free just now.
 func FreeAddr(host string) (string, error) {
 	l, err := net.Listen("tcp", host+":0")
 	if err != nil {
--- a/lab/world/serve.go
+++ b/lab/world/serve.go
@@ -16,15 +16,15 @@
 // request is one parsed command.
 type request struct {
 	key      string
-	id       string // of the op, as sent
-	op       uint64 // its number
+	id       string // ID of the op, as sent
+	op       uint64 // the same as a number
 	category experiment.Category
 	write    bool
 	conn     *conn
 	answer   chan []byte
 }
 
-// lookupWorkDivisor is how much less work a lookup that misses takes in mode "aside" than a hit.
+// lookupWorkDivisor divides the work of a hit to give the work of a lookup that misses in mode "aside".
 const lookupWorkDivisor = 8
 
 // handleCommand handles one complete command. A CACHE.GET or CACHE.SET is recorded as a push that the server received.
@@ -68,7 +68,7 @@
 	}
 }
 
-// startRequest applies the injected faults to a request, and queues its work.
+// startRequest applies the injected faults to a request that has arrived, and queues its work.
 func (c *Cache) startRequest(req request, work time.Duration) {
 	_, refuse, _, dropAnswer, fail, unresponsive := c.Faults.snapshot()
 	switch {
@@ -82,7 +82,7 @@
 			C:    ledger.EndUnanswered,
 		})
 		req.conn.mu.Lock()
-		delete(req.conn.openPushes, req.op) // no answer ever comes, while the connection stays open
+		delete(req.conn.openPushes, req.op) // the connection stays open, but this request is never answered
 		req.conn.mu.Unlock()
 		return
 	case c.world.random(req.op, c.Number, "refuse") < refuse:
@@ -157,7 +157,8 @@
 	}
 }
 
-// sendValue answers with the value of a read, or with the receipt of a write.
+// sendValue answers with the value of a read, or with a short value that confirms a write. hitOrMiss is the cache's status in the answer;
+// empty: none. end is the ledger's End constant for the push.
 func (c *Cache) sendValue(req request, hitOrMiss string, end uint32) {
 	_, _, corrupt, _, _, _ := c.Faults.snapshot()
 	value := Value(req.key, req.id, req.category.Size)
@@ -178,7 +179,7 @@
 // bulk formats a RESP bulk string without its "$" and its final line end.
 func bulk(s string) string { return fmt.Sprintf("%d\r\n%s", len(s), s) }
 
-// currentLoadReport returns the load report, which is refreshed at most once per reporting interval.
+// currentLoadReport returns the text of the load report, which is refreshed at most once per reporting interval.
 func (c *Cache) currentLoadReport() string {
 	running, waiting := c.queue.load()
 	c.mu.Lock()
--- a/lab/world/workqueue.go
+++ b/lab/world/workqueue.go
@@ -11,27 +11,27 @@
 	work     time.Duration // core time at full speed
 	done     func()        // called when the work is complete
 	timer    *time.Timer
-	started  bool
-	finished bool
+	started  bool // it occupies or occupied a core
+	finished bool // it is complete or was cancelled
 }
 
 // stallThreshold is how late a job's timer may fire before the stand-in counts as stalled.
 const stallThreshold = 5 * time.Millisecond
 
-// minSpeed is the lower limit of a work queue's speed.
+// minSpeed is the lower limit of a work queue's speed, as a factor on the speed of a core.
 const minSpeed = 0.001
 
 // workQueue runs jobs on a number of cores, behind a bounded queue. Its speed may change; a job keeps the speed that it started with.
 type workQueue struct {
 	completed   atomic.Int64 // jobs whose timer has fired
-	stalled     atomic.Int64 // those of them that fired more than stallThreshold late, through no fault of a proxy
+	stalled     atomic.Int64 // those of them whose timer fired more than stallThreshold late, because the laboratory stalled
 	mu          sync.Mutex
 	cores       int
 	queueLimit  int // jobs that may wait
 	running     int // jobs that occupy a core
 	waiting     []*job
 	speed       func(waiting int) float64 // factor on the speed of a core; 1: full speed
-	pausedUntil time.Time                 // work of new jobs starts then at the earliest
+	pausedUntil time.Time                 // a job that gets a core before starts its work then
 }
 
 // offer queues a job. It returns false when the queue is full; the job never runs then.
@@ -82,7 +82,7 @@
 	j.done()
 }
 
-// cancel removes a waiting job and, with includeStarted, a running one. It reports whether the job was removed.
+// cancel removes a waiting job and, with includeStarted, a running one, whose core it frees. It reports whether the job was removed.
 func (q *workQueue) cancel(j *job, includeStarted bool) (removed bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -109,7 +109,7 @@
 	return false
 }
 
-// pauseUntil delays the work of jobs that start before a time; running jobs are not affected.
+// pauseUntil delays the work of jobs that get a core before a time until that time; running jobs are not affected.
 func (q *workQueue) pauseUntil(until time.Time) {
 	q.mu.Lock()
 	q.pausedUntil = until
--- a/lab/world/world.go
+++ b/lab/world/world.go
@@ -1,5 +1,5 @@
 // Package world runs stand-ins on loopback for every server that proxies talk to: caches, the origin, and one discovery agent for
-// each proxy. They speak the platform's protocols over real sockets, and record every request in the ledger.
+// each proxy. They speak the protocols of the real servers over TCP, and record every push in the ledger.
 package world
 
 import (
@@ -27,16 +27,17 @@
 
 	Links *ways.RuleTable // rules of all links; nil: the experiment breaks no links, and connections are plain TCP
 
-	addressBlock  int       // part of the loopback range that it uses
+	addressBlock  int       // index of the part of the loopback range that it uses; below addressBlocks
 	start         time.Time // zero of the run's clock
 	mu            sync.Mutex
-	caches        []*Cache // by server number - 1; the origin is server 0
-	originMisses  sync.Map // op id -> *missedCaches
-	appliedWrites sync.Map // deduplication keys of recent writes
-	connCount     atomic.Uint32
+	caches        []*Cache      // by server number - 1; the origin is server 0
+	originMisses  sync.Map      // by op ID: *missedCaches of the ops that go to the origin after a miss
+	appliedWrites sync.Map      // keys are those of applyWrite, of deduplicated writes within their window
+	connCount     atomic.Uint32 // last connection number given
 }
 
-// missedCaches are the caches that answered an op with a miss; the origin's answer is stored in them.
+// missedCaches are the caches that answered an op with a miss. The origin's answer is stored in the first maxFilledPerFetch of them, if
+// they run.
 type missedCaches struct {
 	mu     sync.Mutex
 	caches []*Cache
@@ -69,7 +70,7 @@
 // Start returns the time at which the run's clock started.
 func (w *World) Start() time.Time { return w.start }
 
-// AddCache starts one more cache: cold, or fully warmed up.
+// AddCache starts one more cache in a zone: cold, or fully warmed up.
 func (w *World) AddCache(zone int, cold bool) (*Cache, error) {
 	w.mu.Lock()
 	n := uint32(len(w.caches) + 1)
@@ -82,7 +83,7 @@
 	return c, nil
 }
 
-// Replace starts a cold successor at a cache's addresses, under a new id.
+// Replace starts a cold successor at a cache's addresses, under a new ID. If the cache has a successor already, Replace returns the cache.
 func (w *World) Replace(old *Cache) (*Cache, error) {
 	// Two faults may replace the same cache at once; the first successor keeps the addresses.
 	if old.replaced.Swap(true) {
@@ -104,8 +105,8 @@
 	return append([]*Cache(nil), w.caches...)
 }
 
-// LateWorkShare returns the share of all work at stand-ins that ended more than stallThreshold late. It distinguishes stalls of the
-// laboratory itself from those of a proxy.
+// LateWorkShare returns the share of all jobs at stand-ins that ended more than stallThreshold late, from 0 to 1. Such delays are stalls of
+// the laboratory itself, not of a proxy.
 func (w *World) LateWorkShare() float64 {
 	ended, stalled := w.Origin.queue.completed.Load(), w.Origin.queue.stalled.Load()
 	for _, c := range w.Caches() {
@@ -114,7 +115,7 @@
 	return float64(stalled) / float64(max(ended, 1))
 }
 
-// Zones returns the zone index of each server number.
+// Zones returns the zone index of each server, by server number; the origin is in zone 0.
 func (w *World) Zones() map[uint32]int {
 	zones := map[uint32]int{0: 0}
 	for _, c := range w.Caches() {
@@ -132,7 +133,7 @@
 	w.Registry.close()
 }
 
-// zoneDelay returns the one-way delay between two zones.
+// zoneDelay returns the one-way delay between two zones; 0 within a zone.
 func (w *World) zoneDelay(a, b int) time.Duration {
 	if a == b {
 		return 0
@@ -153,7 +154,7 @@
 
 // drawWork draws the core time of an op: half of the mean plus an exponentially distributed half.
 func (w *World) drawWork(mean time.Duration, op uint64, server uint32) time.Duration {
-	return time.Duration(float64(mean) * (0.5 - 0.5*math.Log(1-w.random(op, server, "work")*0.999)))
+	return time.Duration(float64(mean) * (0.5 - 0.5*math.Log(1-w.random(op, server, "work")*0.999))) // 0.999 bounds it to 4 times the mean
 }
 
 // Value returns the value that answers an op. It holds the op's id and key, so that an answer that belongs to another op is detected.
@@ -162,7 +163,7 @@
 	return v + strings.Repeat(".", max(size-len(v), 0))
 }
 
-// OpNumber parses the hexadecimal id of an op; an invalid id gives 0.
+// OpNumber parses the hexadecimal ID of an op, or a key, which has the same form; an invalid one gives 0.
 func OpNumber(id string) uint64 {
 	n, err := strconv.ParseUint(id, 16, 64)
 	if err != nil {
@@ -208,7 +209,7 @@
 // OriginEndpoint returns the endpoint of the origin in link rules.
 func (w *World) OriginEndpoint() ways.Endpoint { return ways.Endpoint{Name: "origin"} }
 
-// registryEndpoint returns the endpoint of a site's replica of the list of caches in link rules.
+// registryEndpoint returns the endpoint of discovery in a zone, in link rules.
 func (w *World) registryEndpoint(site int) ways.Endpoint {
 	return ways.Endpoint{Site: site, Name: "list"}
 }
@@ -221,7 +222,8 @@
 	return w.Links.Listen(addr, group.endpoint, local)
 }
 
-// sentAt returns when the peer sent the bytes that were last read from a connection, on the run's clock.
+// sentAt returns when the peer sent the bytes that were last read from a connection, on the run's clock. For a plain TCP connection it is
+// the present time.
 func (w *World) sentAt(netConn net.Conn) time.Duration {
 	if link, ok := netConn.(*ways.Conn); ok {
 		return link.SentAt().Sub(w.start)
--- a/lab/world/world_test.go
+++ b/lab/world/world_test.go
@@ -86,7 +86,7 @@
 }
 
 // A command counts as received once its last byte has arrived: a truncated one must not be recorded as a push.
-func TestACommandBeginsWithItsLastByte(t *testing.T) {
+func TestTruncatedCommandIsNotReceived(t *testing.T) {
 	w, done := newTestWorld(t)
 	nc, r := dial(t, w.Caches()[0])
 	command := getCommand("aa", "01")
@@ -100,7 +100,7 @@
 	}
 }
 
-// When a proxy gives a push up by closing its connection, the configured mode decides whether queued and running work is cancelled.
+// When a proxy abandons a push by closing its connection, the configured mode decides whether queued and running work is cancelled.
 func TestCancel(t *testing.T) {
 	for mode, want := range map[string][2]int{"all": {0, 0}, "queued": {1, 0}, "none": {1, 1}} {
 		w, done := newTestWorld(t, "caches.cancel=\""+mode+"\"", "caches.mode=\"through\"")
@@ -119,7 +119,7 @@
 }
 
 // A repeat of a deduplicated write within its window must not be applied again; a missed key must be stored where it was missed.
-func TestWhatIsStoredAndWhatIsDropped(t *testing.T) {
+func TestDeduplicationAndMissedKeys(t *testing.T) {
 	w, done := newTestWorld(t, "caches.full=false", "caches.mode=\"through\"")
 	nc, r := dial(t, w.Caches()[0])
 	exchange := func(nc net.Conn, r *bufio.Reader, text string) string {
@@ -151,7 +151,7 @@
 }
 
 // A state must be recorded as announced when the agent has sent it, not before; a silent agent sends nothing.
-func TestTheListIsToldWhenItIsAnswered(t *testing.T) {
+func TestStateIsAnnouncedWithAnswer(t *testing.T) {
 	w, done := newTestWorld(t)
 	a, err := w.Registry.NewAgent(0)
 	if err != nil {
