--- a/lab/run/run.go
+++ b/lab/run/run.go
@@ -28,13 +28,13 @@
 }
 
 const (
-	maxSendDelay     = 5 * time.Millisecond   // of the laboratory itself, for an op or for the work of a stand-in
-	minPunctualShare = 0.95                   // share of ops and of work within maxSendDelay in a valid run
-	settleTime       = 300 * time.Millisecond // from the start of the proxies to the first op
+	maxSendDelay     = 5 * time.Millisecond   // longest delay by the laboratory itself, of an op or of the work of a stand-in, that counts as punctual
+	minPunctualShare = 0.95                   // least share of ops, and of work, that is punctual in a valid run
+	settleTime       = 300 * time.Millisecond // from when all proxies serve to the start of the load
 )
 
-// Execute runs an experiment and writes its results. An error means that there is nothing to judge. A result that proves nothing has
-// its reasons in InvalidReasons.
+// Execute runs an experiment and writes its results. An error means that there is nothing to judge. If a run is no valid evidence, the
+// reasons are in the result's InvalidReasons.
 func Execute(exp *experiment.File, options Options) (*report.Result, error) {
 	if err := os.MkdirAll(options.Dir, 0o755); err != nil {
 		return nil, err
@@ -204,8 +204,8 @@
 	}
 }
 
-// sampleEverySecond adds samples of the stand-ins and the proxies to the meter until loadDone is closed, and returns the peak usage of a
-// proxy and the CPU seconds of all.
+// sampleEverySecond adds samples of the stand-ins and the proxies to the meter until loadDone is closed. It returns the peak usage of a single
+// proxy, with the sum of all proxies' CPU seconds as CPU.
 func sampleEverySecond(w *world.World, proxyFleet *fleet, balancer *load.Balancer, meter *measure.Meter, start time.Duration,
 	loadDone <-chan struct{}, logf func(string, ...any)) (peak measure.Usage) {
 	ticker := time.NewTicker(time.Second)
@@ -220,7 +220,7 @@
 		case <-ticker.C:
 		}
 		elapsed := w.Now() - start - time.Second/2 // middle of the sampled second
-		cpu, memory := 0.0, 0.0                    // CPU seconds, MB
+		cpu, memory := 0.0, 0.0                    // CPU seconds of all proxies in this second; memory of all, in MB
 		conns, queued := 0, 0
 		usage := proxyFleet.processUsage()
 		for i, u := range usage {
